--- a/src/balsamlift/orders/__init__.py
+++ b/src/balsamlift/orders/__init__.py
@@ -1,4 +1,7 @@
-"""Orders to engines: one host at a time gives them, under a lease."""
+"""Orders that bring engines to the state the preset in force sets.
+
+One host at a time sends them, under a lease.
+"""
 
 from balsamlift.orders._service import Orders
 
--- a/src/balsamlift/orders/_engine.py
+++ b/src/balsamlift/orders/_engine.py
@@ -1,4 +1,4 @@
-"""What an engine is asked and told."""
+"""Messages to engines: reading their state and sending orders."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class EngineState:
-    """Hold what an engine reports of itself."""
+    """Hold the state that an engine reports."""
 
     model: str
     version: str
@@ -29,7 +29,7 @@
 
 @attrs.frozen(kw_only=True)
 class Order:
-    """State what an engine shall be; giving it twice does no harm."""
+    """Describe the state an engine has to reach; orders are idempotent."""
 
     fence: int
     generation: int
@@ -39,37 +39,37 @@
     role: str
 
 
-def make_order(wanted: PoolPreset, generation: int, fence: int) -> Order:
-    """Return the order for one engine of a pool."""
+def make_order(desired: PoolPreset, generation: int, fence: int) -> Order:
+    """Return the order that brings an engine to the desired state."""
     return Order(
         fence=fence,
         generation=generation,
-        model=wanted.model,
-        version=wanted.version,
-        adapters=wanted.adapters,
-        role=wanted.role,
+        model=desired.model,
+        version=desired.version,
+        adapters=desired.adapters,
+        role=desired.role,
     )
 
 
-def is_as_wanted(state: EngineState, wanted: PoolPreset) -> bool:
-    """Return whether the engine is what it shall be and stays so.
+def is_in_desired_state(state: EngineState, desired: PoolPreset) -> bool:
+    """Return whether the engine is in the desired state and stays in it.
 
-    One that reports the wanted model while it loads is on its way to
-    another: a late order has reached it.
+    An engine that reports the desired model while it is loading is about
+    to change to another one: it received a late order.
     """
     return (
         not state.loading
-        and state.model == wanted.model
-        and state.version == wanted.version
-        and sorted(state.adapters) == sorted(wanted.adapters)
-        and state.role == wanted.role
+        and state.model == desired.model
+        and state.version == desired.version
+        and sorted(state.adapters) == sorted(desired.adapters)
+        and state.role == desired.role
     )
 
 
 async def read_state(
     http: HttpClient, upstream: Upstream, timeout_ms: int
 ) -> EngineState | None:
-    """Return what the engine reports, or None when it does not answer."""
+    """Return the engine's state, or None if it does not answer."""
     url = f"http://{upstream.address}/v1/state"
     try:
         answer = await http.call("GET", url, timeout_ms=timeout_ms, fresh=True)
@@ -83,10 +83,10 @@
 async def send_order(
     http: HttpClient, upstream: Upstream, order: Order, timeout_ms: int
 ) -> None:
-    """Give an order.
+    """Send an order to an engine.
 
-    Raises `OrderRefusedError`, or `OrderLostError` when it may have been
-    taken or may be yet.
+    Raises `OrderRefusedError` if the engine refuses it, and
+    `OrderLostError` if it may have been accepted or may be later.
     """
     url = f"http://{upstream.address}/v1/orders"
     try:
--- a/src/balsamlift/orders/_service.py
+++ b/src/balsamlift/orders/_service.py
@@ -1,4 +1,4 @@
-"""The service `orders`: take the lease, and under it give orders."""
+"""The service `orders`: takes the lease and sends orders under it."""
 
 from __future__ import annotations
 
@@ -13,8 +13,12 @@
 from balsamlift.clock import Clock
 from balsamlift.exceptions import LogUnavailableError
 from balsamlift.kernel import Kernel
-from balsamlift.orders._giver import Means, PoolGiver, Wanted
 from balsamlift.orders._lease import LeaseView
+from balsamlift.orders._reconciler import (
+    DesiredState,
+    PoolReconciler,
+    ReconcilerContext,
+)
 from balsamlift.peers import Peers, Upstreams
 from balsamlift.presets import InForce, Lease, Presets, new_operation
 from balsamlift.settings import OrderSettings
@@ -27,7 +31,7 @@
 
 
 class Orders:
-    """Give orders while this host holds the lease."""
+    """Reconcile engines with the preset while this host holds the lease."""
 
     name = "orders"
 
@@ -40,24 +44,24 @@
         settings: OrderSettings | None = None,
         rng: random.Random | None = None,
     ) -> None:
-        """`holder` names this incarnation of this host."""
+        """Start without the lease; `holder` names this host's incarnation."""
         self._clock = clock
         self._http = http
         self._settings = settings or OrderSettings()
         self._rng = rng or random.Random()
-        self._view = LeaseView(holder, clock)
-        self._held = False
+        self._lease = LeaseView(holder, clock)
+        self._was_holder = False
         self._try_at_s: float | None = None
         self._tasks: list[asyncio.Task[None]] = []
-        self._appending: asyncio.Task[None] | None = None
-        self._givers: dict[str, asyncio.Task[None]] = {}
+        self._append_task: asyncio.Task[None] | None = None
+        self._reconcilers: dict[str, asyncio.Task[None]] = {}
 
     async def start(self, kernel: Kernel) -> None:
-        """Find the services needed and begin to follow the lease."""
+        """Look up the services needed and start to follow the lease."""
         self._presets = kernel.find("presets", Presets)
         self._peers = kernel.find("peers", Peers)
         self._timeline = kernel.find("timeline", Timeline)
-        self._means = Means(
+        self._context = ReconcilerContext(
             clock=self._clock,
             http=self._http,
             timeline=self._timeline,
@@ -69,89 +73,96 @@
         self._tasks.append(asyncio.create_task(self._follow_lease()))
 
     async def stop(self) -> None:
-        """End every task; the lease lapses by itself."""
-        for task in (*self._givers.values(), self._appending, *self._tasks):
+        """Stop all tasks; the lease expires on its own."""
+        for task in (
+            *self._reconcilers.values(),
+            self._append_task,
+            *self._tasks,
+        ):
             await end_task(task)
 
     @property
     def holds_lease(self) -> bool:
         """Return whether this host holds the lease now."""
-        return self._view.left_s > 0
+        return self._lease.remaining_s > 0
 
     def fence(self, generation: int) -> int | None:
-        """Return the fencing number for orders of that generation.
+        """Return the fencing number for orders of a generation.
 
-        None unless the lease holds for longer than one order may take, and
-        was appended after the switch to that generation: so one number
-        stands for one wanted state, and orders that cross do no harm on an
-        engine that checks it.
+        None unless the lease is held for longer than one order may take and
+        was appended after the switch to that generation. So each fencing
+        number stands for one desired state, and reordered orders do no harm
+        on an engine that checks it.
         """
         in_force = self._presets.in_force()
         needs_ms = self._settings.send_ms + self._settings.margin_ms
-        if self._view.left_s * MS_PER_S <= needs_ms:
+        if self._lease.remaining_s * MS_PER_S <= needs_ms:
             return None
         if in_force is None or in_force.generation != generation:
             return None
-        if self._view.offset <= in_force.offset:
+        if self._lease.offset <= in_force.offset:
             return None
-        return self._view.offset
+        return self._lease.offset
 
     async def _follow_lease(self) -> None:
         while True:
-            self._view.observe(self._presets.lease())
-            self._note_holding()
+            self._lease.observe(self._presets.lease())
+            self._record_holding()
             in_force = self._presets.in_force()
             if in_force is not None:
-                self._start_givers(in_force)
-                self._consider_append(in_force)
+                self._start_reconcilers(in_force)
+                self._start_append_if_due(in_force)
             await self._clock.sleep(self._settings.look_ms / MS_PER_S)
 
-    def _note_holding(self) -> None:
+    def _record_holding(self) -> None:
         holds = self.holds_lease
-        if holds == self._held:
+        if holds == self._was_holder:
             return
-        self._held = holds
+        self._was_holder = holds
         kind = "lease_taken" if holds else "lease_lost"
         log.info("The lease on orders is {}.", "ours" if holds else "lost")
-        self._timeline.record(kind, fence=self._view.offset)
+        self._timeline.record(kind, fence=self._lease.offset)
 
-    def _start_givers(self, in_force: InForce) -> None:
+    def _start_reconcilers(self, in_force: InForce) -> None:
         for pool in in_force.preset.pools:
-            running = self._givers.get(pool)
+            running = self._reconcilers.get(pool)
             if running is None or running.done():
-                wanted = partial(self._wanted, pool)
-                giver = PoolGiver(pool, wanted, self._means)
-                self._givers[pool] = asyncio.create_task(giver.run())
+                get_desired = partial(self._get_desired, pool)
+                reconciler = PoolReconciler(pool, get_desired, self._context)
+                self._reconcilers[pool] = asyncio.create_task(reconciler.run())
 
-    def _wanted(self, pool: str) -> Wanted | None:
+    def _get_desired(self, pool: str) -> DesiredState | None:
         in_force = self._presets.in_force()
         if in_force is None or pool not in in_force.preset.pools:
             return None
-        return Wanted(
+        return DesiredState(
             generation=in_force.generation, pool=in_force.preset.pools[pool]
         )
 
-    def _consider_append(self, in_force: InForce) -> None:
-        if self._appending is not None and not self._appending.done():
+    def _start_append_if_due(self, in_force: InForce) -> None:
+        if self._append_task is not None and not self._append_task.done():
             return
         if self._peers.leaving or not self._presets.log_is_up:
             return
-        if self._needs_renewal(in_force) or self._may_take():
-            self._appending = asyncio.create_task(self._append())
+        if self._needs_renewal(in_force) or self._should_take():
+            self._append_task = asyncio.create_task(self._append())
 
     def _needs_renewal(self, in_force: InForce) -> bool:
         if not self.holds_lease:
             return False
-        short = self._view.left_s * MS_PER_S < self._settings.renew_ms
-        return short or self._view.offset < in_force.offset
+        expires_soon = (
+            self._lease.remaining_s * MS_PER_S < self._settings.renew_ms
+        )
+        return expires_soon or self._lease.offset < in_force.offset
 
-    def _may_take(self) -> bool:
-        """Return whether to try for a lapsed lease now.
+    def _should_take(self) -> bool:
+        """Return whether to try to take an expired lease now.
 
-        Each host draws when it will try, over a time that grows with the
-        number of hosts: the first few tell the others by the log.
+        Each host draws a random time to try, from an interval that grows
+        with the number of hosts, so that most of them see in the log that
+        another host has taken it.
         """
-        if self.holds_lease or self._view.free_in_s > 0:
+        if self.holds_lease or self._lease.free_in_s > 0:
             self._try_at_s = None
             return False
         now_s = self._clock.monotonic()
@@ -167,14 +178,14 @@
     async def _append(self) -> None:
         record = Lease(
             op=new_operation(),
-            holder=self._view.holder,
-            previous_offset=self._view.begin_append(),
+            holder=self._lease.holder,
+            previous_offset=self._lease.begin_append(),
             term_ms=self._settings.term_ms,
         )
         try:
             offset = await self._presets.append(record)
         except LogUnavailableError as error:
-            log.info("The lease could not be asked for: {}.", error)
+            log.info("Could not append the lease: {}.", error)
             await self._clock.sleep(self._rng.uniform(0.5, 1.0))
             return
         await self._presets.wait_offset(offset, FOLD_WAIT_S)
--- a/src/balsamlift/placement/__init__.py
+++ b/src/balsamlift/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Decide who runs, when and where."""
+"""Queue and admit requests, and place them on upstreams."""
 
 from balsamlift.placement._ask import Ask, Ticket
 from balsamlift.placement._engine import LoadReport
--- a/src/balsamlift/placement/_ask.py
+++ b/src/balsamlift/placement/_ask.py
@@ -1,4 +1,4 @@
-"""What a request asks of placement, and the place it is given."""
+"""A request for placement, and the ticket of an admitted request."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen(kw_only=True)
 class Ask:
-    """Describe a request to be placed."""
+    """Describe the demand and the limits of a request to be placed."""
 
     key: str
     workspace: str
@@ -15,22 +15,22 @@
     pool: str
     weight: float = attrs.field(
         default=1.0, validator=attrs.validators.gt(0.0)
-    )  # of its workspace
+    )  # scheduling weight of its workspace
     priority: int = 1  # 0 is served first
     prompt_tokens: int = 0
     prefix: str = ""  # name of a shared prompt prefix
     max_tokens: int = 4_096
-    quantile: float = 0.9  # of the memory forecast, for admission
+    quantile: float = 0.9  # of the memory forecast used for admission
     deadline_ms: float = 120_000.0  # from arrival
 
 
 @attrs.define(eq=False)
 class Ticket:
-    """Hold the place of one admitted request."""
+    """Track a queued or placed request and its reserved upstream."""
 
     ask: Ask
     arrived_ms: float
-    cost: float  # expected tokens, for the shares of the workspaces
-    upstream: str = ""  # where its place is reserved; "" when nowhere
-    tokens: int = 0  # produced so far
+    cost: float  # expected tokens; charged to its workspace
+    upstream: str = ""  # that holds its reservation; "" if none
+    tokens: int = 0  # generated so far
     started: bool = False
--- a/src/balsamlift/placement/_ejection.py
+++ b/src/balsamlift/placement/_ejection.py
@@ -1,4 +1,4 @@
-"""Take slow engines out and let them return step by step."""
+"""Detect and eject slow engines (outlier detection)."""
 
 from __future__ import annotations
 
@@ -8,26 +8,32 @@
 from balsamlift.placement._engine import Engine
 from balsamlift.placement._policy import Policy
 
-FRESH_MS = 2_000.0  # gaps older than this say nothing
-LEAST_ENGINES = 3  # with fresh gaps, to tell which one is slow
-FORGIVEN_AFTER = 4  # return times without trouble
+MAX_GAP_AGE_MS = 2_000.0  # older gap measurements are ignored
+MIN_ENGINES = 3  # with recent gaps, to tell which one is slow
+EJECTIONS_RESET_AFTER = 4  # multiples of `return_ms` without an ejection
 
 
 def eject_slow(
     engines: Sequence[Engine], policy: Policy, now_ms: float
 ) -> None:
-    """Eject engines far slower than the median, at most half of them."""
-    fresh = [e for e in engines if now_ms - e.gap_seen_ms < FRESH_MS]
-    if len(fresh) < LEAST_ENGINES:
+    """Eject engines far slower than the median.
+
+    At most half of the engines are closed at the same time.
+    """
+    measured = [e for e in engines if now_ms - e.gap_seen_ms < MAX_GAP_AGE_MS]
+    if len(measured) < MIN_ENGINES:
         return
-    usual_ms = median(e.gap_ms for e in fresh)
+    median_ms = median(e.gap_ms for e in measured)
     closed = sum(e.is_closed(now_ms) for e in engines)
-    for engine in fresh:
+    for engine in measured:
         if engine.is_closed(now_ms):
             continue
-        if engine.gap_ms > usual_ms * policy.eject_ratio:
+        if engine.gap_ms > median_ms * policy.eject_ratio:
             if 2 * (closed + 1) <= len(engines):
                 engine.eject(policy, now_ms)
                 closed += 1
-        elif now_ms - engine.returned_ms > FORGIVEN_AFTER * policy.return_ms:
+        elif (
+            now_ms - engine.ramp_up_start_ms
+            > EJECTIONS_RESET_AFTER * policy.return_ms
+        ):
             engine.ejections = 0
--- a/src/balsamlift/placement/_engine.py
+++ b/src/balsamlift/placement/_engine.py
@@ -1,30 +1,33 @@
-"""What one host knows of one upstream."""
+"""The state of one upstream, as one host knows it."""
 
 from __future__ import annotations
 
 import attrs
 
 from balsamlift.placement._ask import Ticket
-from balsamlift.placement._forecast import Others, Profile
+from balsamlift.placement._forecast import MemoryProfile, PeerLoad
 from balsamlift.placement._policy import Policy
 
-GAP_WINDOW_MS = 500.0  # over which gaps are averaged
-GAP_SMOOTHING = 0.5  # weight of one window
-LIMIT_START = 32.0
-LIMIT_MOST = 1_024.0
-LIMIT_STEP_MS = 500.0  # between two changes of a limit
-LIMIT_CUT = 0.9
-PREFIXES = 256  # remembered per upstream
-UNCOUNTED_SMOOTHING = 0.2  # weight of one report
-UNCOUNTED_MOST = 0.5  # of the memory, either way
-MEMORY_UNKNOWN = 32_768  # tokens, before the first report
-GAP_UNKNOWN_MS = 30.0
-EJECT_DOUBLINGS = 4
+GAP_WINDOW_MS = 500.0  # over which gaps between tokens are averaged
+GAP_SMOOTHING = 0.5  # weight of the newest window
+INITIAL_LIMIT = 32.0
+MAX_LIMIT = 1_024.0
+LIMIT_INTERVAL_MS = 500.0  # between two adjustments of a limit
+LIMIT_DECREASE_FACTOR = 0.9
+MAX_PREFIXES = 256  # remembered per upstream
+UNACCOUNTED_SMOOTHING = 0.2  # weight of the newest report
+MAX_UNACCOUNTED_SHARE = 0.5  # of the memory, positive or negative
+DEFAULT_MEMORY_TOKENS = 32_768  # until the first report
+DEFAULT_GAP_MS = 30.0
+MAX_EJECT_DOUBLINGS = 4
 
 
 @attrs.frozen(kw_only=True)
 class LoadReport:
-    """Hold what an engine said of its load, in tokens; it lags."""
+    """Hold the load an engine reports; it lags behind the real load.
+
+    Memory is counted in tokens.
+    """
 
     running: int
     queued: int
@@ -34,128 +37,144 @@
 
 @attrs.define(eq=False)
 class Engine:
-    """Keep the state of one upstream, as one host sees it."""
+    """Track the load, speed and availability of one upstream."""
 
     name: str
     failure_domain: str = ""
-    counts_memory: bool = True  # false for plain services
+    tracks_memory: bool = True  # false for plain services
     tickets: dict[str, Ticket] = attrs.field(factory=dict)
-    peers_tokens: int = 0  # expected by the other hosts, at their peak
-    peers_shape: tuple[float, ...] = Profile().shape
+    peers_tokens: int = 0  # peak memory announced by the other hosts
+    peers_shape: tuple[float, ...] = MemoryProfile().shape
     report: LoadReport | None = None
-    profile: Profile = attrs.field(factory=Profile)  # of `tickets`
-    profile_ms: float = -1e9
-    uncounted: float = 0.0  # tokens reported beyond those counted
-    gap_ms: float = 0.0  # smoothed; 0 before the first
-    gap_seen_ms: float = -1e9
-    window_ms: float = 0.0  # start of the window of gaps
+    profile: MemoryProfile = attrs.field(factory=MemoryProfile)  # of `tickets`
+    profile_updated_ms: float = -1e9
+    unaccounted_tokens: float = 0.0  # reported beyond those accounted for
+    gap_ms: float = 0.0  # between tokens, smoothed; 0 until measured
+    gap_seen_ms: float = -1e9  # when the last gap was observed
+    window_start_ms: float = 0.0  # of the gaps being averaged
     window_sum_ms: float = 0.0
     window_count: int = 0
-    limit: float = LIMIT_START  # of own requests in flight
-    limit_ms: float = 0.0
+    limit: float = INITIAL_LIMIT  # on this host's requests in flight
+    limit_changed_ms: float = 0.0
     closed_until_ms: float = -1e9
-    returned_ms: float = -1e9
+    ramp_up_start_ms: float = -1e9  # ahead of the present while it is closed
     ejections: int = 0
-    credit: float = 0.0
-    credit_ms: float = -1e9
-    drawn_ms: float = -1e9
+    credit: float = 0.0  # tokens of headroom that this host may take
+    credit_updated_ms: float = -1e9
+    last_draw_ms: float = -1e9  # of a request larger than the credit
     prefixes: dict[str, None] = attrs.field(factory=dict)
 
     @property
     def memory_tokens(self) -> int:
-        """Return the size of its memory."""
+        """Return the size of its memory, in tokens."""
         if self.report is None or not self.report.memory_total:
-            return MEMORY_UNKNOWN
+            return DEFAULT_MEMORY_TOKENS
         return self.report.memory_total
 
     def expected_gap_ms(self) -> float:
-        """Return the gap to expect between two tokens."""
-        return self.gap_ms or GAP_UNKNOWN_MS
+        """Return the expected gap between two tokens."""
+        return self.gap_ms or DEFAULT_GAP_MS
 
     def observe_gap(self, gap_ms: float, now_ms: float) -> None:
-        """Take in one gap between two tokens."""
+        """Record the gap between two tokens."""
         self.gap_seen_ms = now_ms
         self.window_sum_ms += gap_ms
         self.window_count += 1
-        if now_ms - self.window_ms < GAP_WINDOW_MS:
+        if now_ms - self.window_start_ms < GAP_WINDOW_MS:
             return
         mean_ms = self.window_sum_ms / self.window_count
         if self.gap_ms:
             self.gap_ms += GAP_SMOOTHING * (mean_ms - self.gap_ms)
         else:
             self.gap_ms = mean_ms
-        self.window_ms = now_ms
+        self.window_start_ms = now_ms
         self.window_sum_ms = 0.0
         self.window_count = 0
 
     def adapt_limit(self, policy: Policy, now_ms: float) -> None:
-        """Cut concurrency while gaps are long, else let it grow."""
-        if now_ms - self.limit_ms < LIMIT_STEP_MS:
+        """Adapt the concurrency limit to the gap between tokens (AIMD).
+
+        The limit is cut by a factor while gaps are too long, and grows by
+        one when it is reached.
+        """
+        if now_ms - self.limit_changed_ms < LIMIT_INTERVAL_MS:
             return
-        self.limit_ms = now_ms
-        fresh = now_ms - self.gap_seen_ms < LIMIT_STEP_MS
-        if fresh and self.gap_ms > policy.gap_target_ms:
+        self.limit_changed_ms = now_ms
+        is_measured = now_ms - self.gap_seen_ms < LIMIT_INTERVAL_MS
+        if is_measured and self.gap_ms > policy.gap_target_ms:
             in_flight = float(len(self.tickets))
-            self.limit = max(min(self.limit, in_flight) * LIMIT_CUT, 1.0)
+            self.limit = max(
+                min(self.limit, in_flight) * LIMIT_DECREASE_FACTOR, 1.0
+            )
         elif len(self.tickets) + 1 >= self.limit:
-            self.limit = min(self.limit + 1.0, LIMIT_MOST)
+            self.limit = min(self.limit + 1.0, MAX_LIMIT)
 
-    def others(self) -> Others:
-        """Return what the other hosts expect there."""
-        return Others(self.peers_tokens, self.peers_shape)
+    def peer_load(self) -> PeerLoad:
+        """Return the load announced by the other hosts."""
+        return PeerLoad(self.peers_tokens, self.peers_shape)
 
-    def counted_tokens(self) -> float:
-        """Return the memory that all hosts count there at this moment."""
+    def accounted_tokens(self) -> float:
+        """Return the memory that all hosts account for now, in tokens."""
         return self.profile.now + self.peers_tokens * self.peers_shape[0]
 
-    def held_tokens(self) -> float:
-        """Return the memory that all in flight will take at the mean."""
-        counted = self.profile.peak + self.peers_tokens
-        return max(counted + self.uncounted, 0.0)
+    def expected_peak_tokens(self) -> float:
+        """Return the expected peak memory of all requests in flight."""
+        accounted = self.profile.peak + self.peers_tokens
+        return max(accounted + self.unaccounted_tokens, 0.0)
 
-    def take_report(self, report: LoadReport) -> None:
-        """Take in a report; learn what it holds that nobody counts."""
+    def apply_report(self, report: LoadReport) -> None:
+        """Store a report; update the estimate of unaccounted memory."""
         self.report = report
-        seen = report.memory_used - self.counted_tokens()
-        most = report.memory_total * UNCOUNTED_MOST
-        seen = min(max(seen, -most), most)
-        self.uncounted += UNCOUNTED_SMOOTHING * (seen - self.uncounted)
+        excess = report.memory_used - self.accounted_tokens()
+        bound = report.memory_total * MAX_UNACCOUNTED_SHARE
+        excess = min(max(excess, -bound), bound)
+        self.unaccounted_tokens += UNACCOUNTED_SMOOTHING * (
+            excess - self.unaccounted_tokens
+        )
 
     def close(self, until_ms: float) -> None:
-        """Place nothing here until then."""
+        """Close the upstream to new placements until `until_ms`."""
         self.closed_until_ms = max(self.closed_until_ms, until_ms)
-        self.returned_ms = self.closed_until_ms
+        self.ramp_up_start_ms = self.closed_until_ms
 
     def eject(self, policy: Policy, now_ms: float) -> None:
-        """Close a slow upstream, longer each time."""
-        doublings = min(self.ejections, EJECT_DOUBLINGS)
+        """Close a slow upstream, with exponential back-off."""
+        doublings = min(self.ejections, MAX_EJECT_DOUBLINGS)
         self.ejections += 1
         self.close(now_ms + policy.eject_ms * 2**doublings)
 
     def is_closed(self, now_ms: float) -> bool:
-        """Tell whether nothing may be placed here."""
+        """Return whether the upstream is closed to new placements."""
         return now_ms < self.closed_until_ms
 
-    def return_share(self, policy: Policy, now_ms: float) -> float:
-        """Return the part of its room in use while it comes back."""
-        away_ms = now_ms - self.returned_ms
-        return min(max(away_ms / policy.return_ms, 0.1), 1.0)
+    def ramp_up_share(self, policy: Policy, now_ms: float) -> float:
+        """Return the share of its capacity usable after it reopened.
+
+        The share grows linearly from 0.1 to 1 over `return_ms`.
+        """
+        open_ms = now_ms - self.ramp_up_start_ms
+        return min(max(open_ms / policy.return_ms, 0.1), 1.0)
 
     def remember_prefix(self, prefix: str) -> None:
-        """Note that its cache holds a prefix."""
+        """Record that its cache holds a prefix."""
         if not prefix:
             return
         self.prefixes.pop(prefix, None)
         self.prefixes[prefix] = None
-        if len(self.prefixes) > PREFIXES:
+        if len(self.prefixes) > MAX_PREFIXES:
             del self.prefixes[next(iter(self.prefixes))]
 
     def forget_prefix(self, prefix: str) -> None:
-        """Note that its cache dropped a prefix."""
+        """Record that its cache evicted a prefix."""
         self.prefixes.pop(prefix, None)
 
-    def refill(self, share: float, policy: Policy, now_ms: float) -> None:
-        """Add credit: at most `share` tokens per age of the picture."""
-        passed = (now_ms - self.credit_ms) / policy.picture_ms
-        self.credit = min(self.credit + share * passed, share)
-        self.credit_ms = now_ms
+    def refill_credit(
+        self, share: float, policy: Policy, now_ms: float
+    ) -> None:
+        """Add credit for the time passed: `share` tokens per `picture_ms`.
+
+        The credit never exceeds `share`.
+        """
+        periods = (now_ms - self.credit_updated_ms) / policy.picture_ms
+        self.credit = min(self.credit + share * periods, share)
+        self.credit_updated_ms = now_ms
--- a/src/balsamlift/placement/_poll.py
+++ b/src/balsamlift/placement/_load_poller.py
@@ -12,19 +12,19 @@
 from balsamlift._http import CallError, HttpClient
 from balsamlift.clock import Clock
 from balsamlift.placement._engine import LoadReport
-from balsamlift.placement._needs import Upstream
+from balsamlift.placement._protocols import Upstream
 from balsamlift.placement._scheduler import Scheduler
 
 log = logger.bind(part="placement")
 
-POLL_MS = 1_000.0  # between two polls of one engine
-POLLS_PER_S = 16.0  # of one host at most, over all engines
+POLL_INTERVAL_MS = 1_000.0  # of one engine
+MAX_POLLS_PER_S = 16.0  # by one host, over all engines
 TIMEOUT_MS = 1_000
 
 
 @attrs.frozen
 class CacheEvent:
-    """Hold one event of `GET /v1/cache`."""
+    """Hold an event of `GET /v1/cache`: a prefix was stored or evicted."""
 
     kind: str
     prefix: str
@@ -32,17 +32,20 @@
 
 @attrs.frozen
 class CacheAnswer:
-    """Hold the answer of `GET /v1/cache`."""
+    """Hold the response body of `GET /v1/cache`."""
 
     next: int
     events: list[CacheEvent]
 
 
-class LoadPoll:
-    """Run one poll per engine at a time and tell the scheduler."""
+class LoadPoller:
+    """Poll engines and pass the results to the scheduler.
+
+    At most one poll per engine runs at a time.
+    """
 
     def __init__(self, clock: Clock, scheduler: Scheduler) -> None:
-        """Begin with no polls."""
+        """Start without polls."""
         self._clock = clock
         self._scheduler = scheduler
         self._http = HttpClient()
@@ -50,29 +53,31 @@
         self._due_ms: dict[str, float] = {}
         self._cache_next: dict[str, int] = {}
 
-    def look(self, upstreams: Mapping[str, Upstream]) -> None:
-        """Begin the polls that are due."""
+    def start_due_polls(self, upstreams: Mapping[str, Upstream]) -> None:
+        """Start the polls that are due."""
         now_ms = self._clock.monotonic() * 1_000
         engines = [u for u in upstreams.values() if u.kind == "engine"]
-        every_ms = max(POLL_MS, 1_000 * len(engines) / POLLS_PER_S)
-        self._forget(upstreams)
+        interval_ms = max(
+            POLL_INTERVAL_MS, 1_000 * len(engines) / MAX_POLLS_PER_S
+        )
+        self._forget_removed(upstreams)
         for engine in engines:
             running = self._polls.get(engine.name)
             if running is not None and not running.done():
                 continue
             if now_ms >= self._due_ms.get(engine.name, 0.0):
-                self._due_ms[engine.name] = now_ms + every_ms
+                self._due_ms[engine.name] = now_ms + interval_ms
                 poll = asyncio.create_task(self._poll(engine))
                 self._polls[engine.name] = poll
 
     async def stop(self) -> None:
-        """End all polls."""
+        """Cancel all polls and close the HTTP client."""
         for poll in self._polls.values():
             poll.cancel()
         await asyncio.gather(*self._polls.values(), return_exceptions=True)
         self._http.close()
 
-    def _forget(self, upstreams: Mapping[str, Upstream]) -> None:
+    def _forget_removed(self, upstreams: Mapping[str, Upstream]) -> None:
         for name in self._due_ms.keys() - upstreams.keys():
             del self._due_ms[name]
             self._cache_next.pop(name, None)
@@ -83,7 +88,7 @@
             await self._poll_load(engine)
             await self._poll_cache(engine)
         except (CallError, msgspec.MsgspecError) as error:
-            log.debug("No load from {}: {}.", engine.name, error)
+            log.debug("Could not poll the load of {}: {}.", engine.name, error)
 
     async def _poll_load(self, engine: Upstream) -> None:
         url = f"http://{engine.address}/v1/load"
--- a/src/balsamlift/placement/_policy.py
+++ b/src/balsamlift/placement/_policy.py
@@ -1,4 +1,4 @@
-"""The numbers of the placement policy that a preset sets."""
+"""The parameters of the placement policy that a preset sets."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 @attrs.frozen(kw_only=True)
 class Policy:
-    """Weigh and bound placement and admission."""
+    """Hold the weights and limits of placement and admission."""
 
     name: str = attrs.field(
         default="balsamlift", validator=attrs.validators.in_(_NAMES)
     )
-    # Weights of the choice between two engines; 0 leaves a signal out.
+    # Weights of the score that compares two engines; 0 disables a signal.
     memory_weight: float = attrs.field(default=1.0, validator=_NOT_NEGATIVE)
     gap_weight: float = attrs.field(default=1.0, validator=_NOT_NEGATIVE)
     prefix_weight: float = attrs.field(default=0.5, validator=_NOT_NEGATIVE)
-    # Bounds of the queue of one host.
+    # Limits on the queue of one host.
     queue_requests: int = attrs.field(
         default=200, validator=attrs.validators.ge(0)
     )
@@ -30,23 +30,24 @@
     )
     # Retries allowed per request admitted.
     retry_ratio: float = attrs.field(default=0.1, validator=_SHARE)
-    # Memory: the share of an engine filled, and the part of that kept
-    # for priority 0.
+    # The share of an engine's memory to fill, and the share of that which
+    # is reserved for priority 0.
     memory_share: float = attrs.field(default=0.98, validator=_SHARE)
     reserve_share: float = attrs.field(default=0.05, validator=_SHARE)
-    # The share of the engines that take no long work for a turn, so that
-    # its prefill does not delay short work; 0 for none.
+    # The share of the engines reserved for short requests, in turns of
+    # `short_turn_ms`, so that long prefills do not delay them; 0 for none.
     short_share: float = attrs.field(default=0.2, validator=_SHARE)
     short_turn_ms: float = attrs.field(
         default=6_000.0, validator=attrs.validators.ge(2_000.0)
     )
-    # Gap between tokens above which concurrency is cut.
+    # Gap between tokens above which the concurrency limit is cut.
     gap_target_ms: float = attrs.field(default=60.0, validator=_POSITIVE)
-    # An engine this many times slower than the median is ejected.
+    # An engine this many times slower than the median is ejected, first for
+    # `eject_ms`; its capacity is restored over `return_ms`.
     eject_ratio: float = attrs.field(
         default=3.0, validator=attrs.validators.gt(1.0)
     )
     eject_ms: float = attrs.field(default=2_000.0, validator=_POSITIVE)
     return_ms: float = attrs.field(default=5_000.0, validator=_POSITIVE)
-    # Age of the picture that a host has of its peers and the engines.
+    # Age of what a host knows about the load of its peers and the engines.
     picture_ms: float = attrs.field(default=1_000.0, validator=_POSITIVE)
--- a/src/balsamlift/placement/_pool.py
+++ b/src/balsamlift/placement/_pool.py
@@ -11,13 +11,13 @@
 from balsamlift.placement._engine import Engine
 from balsamlift.placement._policy import Policy
 from balsamlift.placement._queue import FairQueue
-from balsamlift.placement._turns import ring_of
-from balsamlift.placement._waiting import ServiceRate, retry_after_ms
+from balsamlift.placement._short_turns import rotation_order
+from balsamlift.placement._wait_estimate import ServiceRate, retry_after_ms
 
 
 @attrs.frozen
 class Refusal:
-    """Name a queued ticket that cannot be served in time."""
+    """Pair a ticket removed from the queue with the error to raise."""
 
     ticket: Ticket
     error: RefusedError
@@ -25,106 +25,125 @@
 
 @attrs.define
 class Pool:
-    """Keep the engines and the queues of one pool."""
+    """Hold the engines and the queues of one pool."""
 
     engines: dict[str, Engine] = attrs.field(factory=dict)
-    ring: list[str] = attrs.field(factory=list)  # in the order of turns
+    rotation: list[str] = attrs.field(factory=list)  # for short turns
     queues: dict[int, FairQueue] = attrs.field(factory=dict)
     rate: ServiceRate = attrs.field(factory=ServiceRate)
 
     def set_engines(self, engines: Iterable[Engine]) -> None:
-        """Replace the engines in use; those known keep their state."""
+        """Replace the engines; those already known keep their state."""
         known = self.engines
         self.engines = {e.name: known.get(e.name, e) for e in engines}
-        self.ring = ring_of(self.engines)
+        self.rotation = rotation_order(self.engines)
 
     def queue(self, priority: int) -> FairQueue:
-        """Return the queue of a priority."""
+        """Return the queue of a priority, creating it if needed."""
         return self.queues.setdefault(priority, FairQueue())
 
     def by_priority(self) -> Iterator[FairQueue]:
-        """Go over the queues, the most urgent first."""
+        """Iterate over the queues, highest priority first."""
         for priority in sorted(self.queues):
             yield self.queues[priority]
 
-    def waiting(self) -> int:
-        """Return how many wait."""
+    def waiting_count(self) -> int:
+        """Return the number of queued tickets."""
         return sum(len(queue) for queue in self.queues.values())
 
-    def least_gap_ms(self) -> float:
-        """Return the gap to expect at the fastest engine."""
+    def min_gap_ms(self) -> float:
+        """Return the expected gap between tokens of the fastest engine."""
         gaps = (e.expected_gap_ms() for e in self.engines.values())
         return min(gaps, default=0.0)
 
     def wait_ms(self, ticket: Ticket) -> float:
-        """Return how long a new ticket would wait."""
+        """Return the estimated wait of a new ticket."""
         ask = ticket.ask
         queue = self.queue(ask.priority)
-        own = queue.tokens_before(ask.workspace, queue.cost(ask.workspace))
-        return self.rate.wait_ms(self._urgent_cost(ask.priority) + own)
+        own_tokens = queue.tokens_before(
+            ask.workspace, queue.cost(ask.workspace)
+        )
+        return self.rate.wait_ms(
+            self._higher_priority_cost(ask.priority) + own_tokens
+        )
 
-    def check(self, ticket: Ticket, policy: Policy) -> None:
-        """Raise `RefusedError` when a new ticket cannot be in time."""
+    def check_deadline(self, ticket: Ticket, policy: Policy) -> None:
+        """Raise `RefusedError` if a new ticket would miss its deadline."""
         wait_ms = self.wait_ms(ticket)
-        bound_ms = _bound_ms(ticket, policy, self.least_gap_ms())
-        if bound_ms <= 0 or wait_ms > bound_ms:
-            raise self._late(ticket, wait_ms, bound_ms)
+        max_wait_ms = _max_wait_ms(ticket, policy, self.min_gap_ms())
+        if max_wait_ms <= 0 or wait_ms > max_wait_ms:
+            raise self._deadline_error(ticket, wait_ms, max_wait_ms)
 
     def make_room(self, ticket: Ticket, policy: Policy) -> Refusal | None:
-        """Refuse one of the workspace with most waiting for its weight.
+        """Remove a queued ticket if the queue is full.
 
-        The least urgent queue gives way first. Raises `RefusedError`
-        when that is the ticket's own workspace, or more urgent.
+        Takes the newest ticket of the workspace with the largest backlog
+        for its weight, from the non-empty queue of lowest priority. Raises
+        `RefusedError` for the new ticket if its own workspace would have
+        the largest backlog, or if it has a lower priority itself.
         """
-        if self.waiting() < policy.queue_requests:
+        if self.waiting_count() < policy.queue_requests:
             return None
-        queue = self._least_urgent()
-        most = queue.most_waiting()
+        queue = self._lowest_priority_queue()
+        largest = queue.most_backlogged()
         ask = ticket.ask
-        own = self.queue(ask.priority)
-        if queue is own:
-            least = (own.count(ask.workspace) + 1) / ask.weight
-            if most == ask.workspace or queue.load(most) <= least:
-                raise self._full(ticket)
-        newest = queue.newest_of(most) if most else None
+        own_queue = self.queue(ask.priority)
+        if queue is own_queue:
+            own_weighted_count = (
+                own_queue.count(ask.workspace) + 1
+            ) / ask.weight
+            if (
+                largest == ask.workspace
+                or queue.weighted_count(largest) <= own_weighted_count
+            ):
+                raise self._queue_full_error(ticket)
+        newest = queue.newest(largest) if largest else None
         if newest is None or newest.ask.priority < ask.priority:
-            raise self._full(ticket)
-        error = self._full(newest)
+            raise self._queue_full_error(ticket)
+        error = self._queue_full_error(newest)
         queue.remove(newest)
         return Refusal(newest, error)
 
-    def _least_urgent(self) -> FairQueue:
-        """Return the last queue that holds any."""
+    def _lowest_priority_queue(self) -> FairQueue:
+        """Return the non-empty queue of the lowest priority."""
         levels = sorted(self.queues, reverse=True)
-        held = [self.queues[level] for level in levels if self.queues[level]]
-        return held[0] if held else FairQueue()
+        non_empty = [
+            self.queues[level] for level in levels if self.queues[level]
+        ]
+        return non_empty[0] if non_empty else FairQueue()
 
-    def overdue(self, policy: Policy, now_ms: float) -> list[Refusal]:
-        """Take out the tickets that the queues ahead make late."""
+    def remove_overdue(self, policy: Policy, now_ms: float) -> list[Refusal]:
+        """Remove and return the tickets that would miss their deadline."""
         refusals: list[Refusal] = []
-        gap_ms = self.least_gap_ms()
-        urgent = 0.0
+        gap_ms = self.min_gap_ms()
+        higher_priority_tokens = 0.0
         for queue in self.by_priority():
-            kept = 0.0
-            for line in queue.lines():
-                name = line[0].ask.workspace
-                ahead = 0.0
-                for ticket in line:
-                    before = queue.tokens_before(name, ahead)
-                    wait_ms = self.rate.wait_ms(urgent + before)
-                    bound_ms = _bound_ms(ticket, policy, gap_ms)
-                    if now_ms - ticket.arrived_ms + wait_ms > bound_ms:
-                        error = self._late(ticket, wait_ms, bound_ms)
+            kept_tokens = 0.0
+            for tickets in queue.by_workspace():
+                name = tickets[0].ask.workspace
+                tokens_ahead = 0.0
+                for ticket in tickets:
+                    tokens_before_ticket = queue.tokens_before(
+                        name, tokens_ahead
+                    )
+                    wait_ms = self.rate.wait_ms(
+                        higher_priority_tokens + tokens_before_ticket
+                    )
+                    max_wait_ms = _max_wait_ms(ticket, policy, gap_ms)
+                    if now_ms - ticket.arrived_ms + wait_ms > max_wait_ms:
+                        error = self._deadline_error(
+                            ticket, wait_ms, max_wait_ms
+                        )
                         refusals.append(Refusal(ticket, error))
                     else:
-                        ahead += ticket.cost
-                kept += ahead
-            urgent += kept
+                        tokens_ahead += ticket.cost
+                kept_tokens += tokens_ahead
+            higher_priority_tokens += kept_tokens
         for refusal in refusals:
             self.queue(refusal.ticket.ask.priority).remove(refusal.ticket)
         return refusals
 
-    def _urgent_cost(self, priority: int) -> float:
+    def _higher_priority_cost(self, priority: int) -> float:
         return sum(
             ticket.cost
             for level, queue in self.queues.items()
@@ -132,25 +151,27 @@
             if level < priority
         )
 
-    def _own_ms(self, ticket: Ticket) -> float:
+    def _service_time_ms(self, ticket: Ticket) -> float:
         return self.rate.wait_ms(ticket.cost)
 
-    def _late(
-        self, ticket: Ticket, wait_ms: float, bound_ms: float
+    def _deadline_error(
+        self, ticket: Ticket, wait_ms: float, max_wait_ms: float
     ) -> RefusedError:
-        own_ms = self._own_ms(ticket)
+        service_time_ms = self._service_time_ms(ticket)
         return RefusedError(
-            "deadline", retry_after_ms(wait_ms, bound_ms, own_ms)
+            "deadline", retry_after_ms(wait_ms, max_wait_ms, service_time_ms)
         )
 
-    def _full(self, ticket: Ticket) -> RefusedError:
+    def _queue_full_error(self, ticket: Ticket) -> RefusedError:
         wait_ms = self.wait_ms(ticket)
-        own_ms = self._own_ms(ticket)
-        return RefusedError("queue_full", retry_after_ms(wait_ms, 0.0, own_ms))
+        service_time_ms = self._service_time_ms(ticket)
+        return RefusedError(
+            "queue_full", retry_after_ms(wait_ms, 0.0, service_time_ms)
+        )
 
 
-def _bound_ms(ticket: Ticket, policy: Policy, gap_ms: float) -> float:
-    """Return how long a ticket can wait and still be in time."""
+def _max_wait_ms(ticket: Ticket, policy: Policy, gap_ms: float) -> float:
+    """Return how long a ticket can wait and still meet its deadline."""
     ask = ticket.ask
     answer_ms = (ticket.cost - ask.prompt_tokens) * gap_ms
     return min(float(policy.queue_wait_ms), ask.deadline_ms - answer_ms)
--- a/src/balsamlift/placement/_prefixes.py
+++ b/src/balsamlift/placement/_prefixes.py
@@ -1,4 +1,4 @@
-"""Learn how many tokens of a prompt its shared prefix takes."""
+"""Estimate how many tokens of a prompt belong to its shared prefix."""
 
 from __future__ import annotations
 
@@ -6,37 +6,37 @@
 
 import attrs
 
-ENOUGH = 8  # prompts before the estimate is used
-PREFIXES = 2_048  # kept; the least recently used goes first
+MIN_PROMPTS = 8  # seen before the estimate is used
+MAX_PREFIXES = 2_048  # kept; the least recently used is evicted
 
 
 @attrs.define
-class _Seen:
-    least_tokens: int
+class _PrefixStats:
+    min_tokens: int
     count: int = 0
 
 
 class PrefixLengths:
-    """Bound each prefix by the shortest prompt seen that begins with it."""
+    """Estimate each prefix as the shortest prompt seen that starts with it."""
 
     def __init__(self) -> None:
-        """Begin with nothing seen."""
-        self._seen: OrderedDict[str, _Seen] = OrderedDict()
+        """Start without observations."""
+        self._stats: OrderedDict[str, _PrefixStats] = OrderedDict()
 
     def observe(self, prefix: str, prompt_tokens: int) -> None:
-        """Record one prompt."""
+        """Record the length of a prompt that starts with `prefix`."""
         if not prefix:
             return
-        seen = self._seen.setdefault(prefix, _Seen(prompt_tokens))
-        seen.least_tokens = min(seen.least_tokens, prompt_tokens)
-        seen.count += 1
-        self._seen.move_to_end(prefix)
-        if len(self._seen) > PREFIXES:
-            self._seen.popitem(last=False)
+        stats = self._stats.setdefault(prefix, _PrefixStats(prompt_tokens))
+        stats.min_tokens = min(stats.min_tokens, prompt_tokens)
+        stats.count += 1
+        self._stats.move_to_end(prefix)
+        if len(self._stats) > MAX_PREFIXES:
+            self._stats.popitem(last=False)
 
     def shared_tokens(self, prefix: str) -> int:
-        """Return the tokens to take as shared; 0 while too few were seen."""
-        seen = self._seen.get(prefix)
-        if seen is None or seen.count < ENOUGH:
+        """Return the estimated tokens of a prefix; 0 after too few prompts."""
+        stats = self._stats.get(prefix)
+        if stats is None or stats.count < MIN_PROMPTS:
             return 0
-        return seen.least_tokens
+        return stats.min_tokens
--- a/src/balsamlift/placement/_needs.py
+++ b/src/balsamlift/placement/_protocols.py
@@ -1,4 +1,4 @@
-"""What placement needs of the other services."""
+"""Protocols of the other services, as far as placement uses them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Upstream(Protocol):
-    """Describe an upstream, as the service `upstreams` knows it."""
+    """Describe an upstream as the service `upstreams` returns it."""
 
     @property
     def name(self) -> str:
@@ -32,21 +32,21 @@
 
 @runtime_checkable
 class UpstreamsService(Protocol):
-    """List the upstreams."""
+    """List the upstreams of a pool and report changes."""
 
     def in_pool(self, pool: str) -> Sequence[Any]:
         """Return the usable upstreams of a pool."""
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Call back after each change of them."""
+        """Register a callback for changes of the upstreams."""
 
 
 @runtime_checkable
 class PeersService(Protocol):
-    """Tell what the other hosts have in flight."""
+    """Exchange in-flight counts with the other hosts."""
 
     def in_flight(self, upstream: str) -> int:
-        """Return what the peers announced for an upstream."""
+        """Return the total that the peers announced for an upstream."""
 
     def set_in_flight(self, upstream: str, n: int) -> None:
         """Announce what this host has in flight."""
@@ -57,26 +57,26 @@
 
 @runtime_checkable
 class PresetsService(Protocol):
-    """Tell the preset in force."""
+    """Provide the preset in force."""
 
     def in_force(self) -> Any:
-        """Return it, with `.preset.policy`, or None."""
+        """Return the preset in force, with `.preset.policy`, or None."""
 
 
 @runtime_checkable
 class MetricsService(Protocol):
-    """Count and measure."""
+    """Record counters and durations."""
 
     def count(self, name: str, n: int = 1) -> None:
         """Add to a counter."""
 
     def observe_ms(self, name: str, value: float) -> None:
-        """Record a time."""
+        """Record a duration."""
 
 
 @runtime_checkable
 class TimelineService(Protocol):
-    """Keep the time line."""
+    """Record events of requests on the timeline."""
 
     def record(self, kind: str, *, request: str = "", **detail: Any) -> Any:
-        """Add one event."""
+        """Add an event."""
--- a/src/balsamlift/placement/_queue.py
+++ b/src/balsamlift/placement/_queue.py
@@ -1,4 +1,4 @@
-"""Share a queue between workspaces by deficit round robin."""
+"""A queue shared fairly between workspaces by deficit round robin."""
 
 from __future__ import annotations
 
@@ -7,43 +7,47 @@
 
 from balsamlift.placement._ask import Ticket
 
-QUANTUM = 256.0  # tokens added per round and unit of weight
+QUANTUM = 256.0  # tokens per round and unit of weight
 
 
 class FairQueue:
-    """Queue tickets of one pool and priority."""
+    """Queue the tickets of one pool and priority.
+
+    Each workspace has its own FIFO queue.
+    """
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Start empty."""
         self._waiting: OrderedDict[str, deque[Ticket]] = OrderedDict()
         self._deficits: dict[str, float] = {}
-        self._costs: dict[str, float] = {}  # of all that wait
+        self._costs: dict[str, float] = {}  # of all queued tickets, in tokens
 
     def __len__(self) -> int:
-        """Return how many wait."""
-        return sum(len(line) for line in self._waiting.values())
+        """Return the number of queued tickets."""
+        return sum(len(tickets) for tickets in self._waiting.values())
 
     def __iter__(self) -> Iterator[Ticket]:
-        """Go over all that wait, workspace by workspace."""
-        for line in list(self._waiting.values()):
-            yield from list(line)
+        """Iterate over the queued tickets, workspace by workspace."""
+        for tickets in list(self._waiting.values()):
+            yield from list(tickets)
 
-    def lines(self) -> list[list[Ticket]]:
-        """Return the tickets of each workspace in order."""
-        return [list(line) for line in self._waiting.values()]
+    def by_workspace(self) -> list[list[Ticket]]:
+        """Return the queued tickets of each workspace, oldest first."""
+        return [list(tickets) for tickets in self._waiting.values()]
 
     def count(self, workspace: str) -> int:
-        """Return how many of one workspace wait."""
+        """Return the number of queued tickets of a workspace."""
         return len(self._waiting.get(workspace, ()))
 
     def tokens_before(self, workspace: str, ahead: float) -> float:
-        """Return the tokens served before the next of a workspace.
+        """Return the tokens served before the next ticket of a workspace.
 
-        `ahead` are its own; each other workspace is served in
-        proportion to its weight until it has nothing left.
+        `ahead` are the tokens queued before it in its own workspace. Each
+        other workspace is served in proportion to its weight until its
+        backlog is empty.
         """
-        line = self._waiting.get(workspace)
-        own = line[0].ask.weight if line else 1.0
+        tickets = self._waiting.get(workspace)
+        own = tickets[0].ask.weight if tickets else 1.0
         total = ahead
         for name, other in self._waiting.items():
             if name != workspace:
@@ -51,45 +55,45 @@
                 total += min(served, self.cost(name))
         return total
 
-    def load(self, workspace: str) -> float:
-        """Return how many of a workspace wait, per unit of weight."""
-        line = self._waiting.get(workspace)
-        return len(line) / line[0].ask.weight if line else 0.0
+    def weighted_count(self, workspace: str) -> float:
+        """Return the queued tickets of a workspace per unit of weight."""
+        tickets = self._waiting.get(workspace)
+        return len(tickets) / tickets[0].ask.weight if tickets else 0.0
 
-    def most_waiting(self) -> str:
-        """Return the workspace with most waiting for its weight."""
-        return max(self._waiting, key=self.load, default="")
+    def most_backlogged(self) -> str:
+        """Return the workspace with the largest backlog for its weight."""
+        return max(self._waiting, key=self.weighted_count, default="")
 
     def cost(self, workspace: str) -> float:
-        """Return the tokens expected of what a workspace has waiting."""
+        """Return the expected tokens of a workspace's queued tickets."""
         return self._costs.get(workspace, 0.0)
 
     def push(self, ticket: Ticket) -> None:
-        """Add a ticket at the end of its workspace's line."""
+        """Append a ticket to the queue of its workspace."""
         name = ticket.ask.workspace
         self._waiting.setdefault(name, deque()).append(ticket)
         self._deficits.setdefault(name, 0.0)
         self._costs[name] = self._costs.get(name, 0.0) + ticket.cost
 
     def remove(self, ticket: Ticket) -> bool:
-        """Take out one ticket; return whether it waited."""
+        """Remove a ticket; return whether it was queued."""
         name = ticket.ask.workspace
-        line = self._waiting.get(name)
-        if line is None or ticket not in line:
+        tickets = self._waiting.get(name)
+        if tickets is None or ticket not in tickets:
             return False
-        line.remove(ticket)
-        self._took(ticket)
+        tickets.remove(ticket)
+        self._update_after_removal(ticket)
         return True
 
-    def newest_of(self, workspace: str) -> Ticket:
-        """Return the ticket that a workspace added last."""
+    def newest(self, workspace: str) -> Ticket:
+        """Return the ticket that a workspace queued last."""
         return self._waiting[workspace][-1]
 
     def drain(self, place: Callable[[Ticket], bool]) -> list[Ticket]:
-        """Take out tickets in fair order while `place` accepts them.
+        """Remove tickets in fair order while `place` accepts them.
 
-        The head that does not fit blocks the others, lest the large
-        ones starve.
+        A ticket that does not fit blocks the ones behind it; otherwise
+        large requests would starve.
         """
         placed: list[Ticket] = []
         while self._waiting:
@@ -99,19 +103,19 @@
             name = ticket.ask.workspace
             self._waiting[name].popleft()
             self._deficits[name] -= ticket.cost
-            self._took(ticket)
+            self._update_after_removal(ticket)
             placed.append(ticket)
         return placed
 
     def _next(self) -> Ticket:
         while True:
-            name, line = next(iter(self._waiting.items()))
-            if self._deficits[name] >= line[0].cost:
-                return line[0]
-            self._deficits[name] += QUANTUM * line[0].ask.weight
+            name, tickets = next(iter(self._waiting.items()))
+            if self._deficits[name] >= tickets[0].cost:
+                return tickets[0]
+            self._deficits[name] += QUANTUM * tickets[0].ask.weight
             self._waiting.move_to_end(name)
 
-    def _took(self, ticket: Ticket) -> None:
+    def _update_after_removal(self, ticket: Ticket) -> None:
         name = ticket.ask.workspace
         self._costs[name] -= ticket.cost
         if not self._waiting[name]:
--- a/src/balsamlift/placement/_budget.py
+++ b/src/balsamlift/placement/_retry_budget.py
@@ -1,4 +1,4 @@
-"""Bound retries by a share of the requests."""
+"""Limit retries to a fraction of the requests admitted."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class RetryBudget:
-    """Earn a part of a retry with each request, spend one with each retry."""
+    """Token bucket that each request fills and each retry draws on."""
 
     def __init__(self) -> None:
-        """Begin with a full burst."""
+        """Start with a full bucket."""
         self._left = BURST
 
     def earn(self, ratio: float) -> None:
-        """Add what one request earns."""
+        """Add the fraction of a retry that one request earns."""
         self._left = min(self._left + ratio, BURST)
 
     def spend(self) -> bool:
-        """Take one retry; return whether there was one."""
+        """Take one retry from the budget; return whether one was left."""
         if self._left < 1.0:
             return False
         self._left -= 1.0
--- a/src/balsamlift/placement/_scheduler.py
+++ b/src/balsamlift/placement/_scheduler.py
@@ -1,4 +1,7 @@
-"""The placement policy of one host, driven by an explicit time."""
+"""The scheduler of one host: it queues, admits and places requests.
+
+The caller passes the time, so it runs in virtual time as well.
+"""
 
 from __future__ import annotations
 
@@ -10,84 +13,88 @@
 
 from balsamlift.exceptions import RefusedError
 from balsamlift.placement._ask import Ask, Ticket
-from balsamlift.placement._budget import RetryBudget
-from balsamlift.placement._choice import (
-    Moment,
-    Pick,
-    pick_best,
-    pick_least,
-    round_robin,
-)
 from balsamlift.placement._ejection import eject_slow
 from balsamlift.placement._engine import Engine, LoadReport
 from balsamlift.placement._forecast import (
-    Profile,
+    MemoryProfile,
     generation_profile,
     total_profile,
 )
-from balsamlift.placement._lengths import LengthEstimates, expected_rest
+from balsamlift.placement._lengths import LengthEstimates, expected_remaining
 from balsamlift.placement._policy import Policy
 from balsamlift.placement._pool import Pool, Refusal
 from balsamlift.placement._prefixes import PrefixLengths
-from balsamlift.placement._turns import turn_at
-from balsamlift.placement._waiting import retry_after_ms
+from balsamlift.placement._retry_budget import RetryBudget
+from balsamlift.placement._selection import (
+    SelectionContext,
+    Selector,
+    make_round_robin,
+    pick_best,
+    pick_least_loaded,
+)
+from balsamlift.placement._short_turns import short_turn_at
+from balsamlift.placement._wait_estimate import retry_after_ms
 
-PROFILE_MS = 200.0  # age at which a profile is worked out again
-DRAINING_MS = 5_000.0  # an upstream that drains is left alone this long
+MAX_PROFILE_AGE_MS = 200.0  # before it is computed again
+DRAINING_CLOSED_MS = 5_000.0  # how long a draining upstream is closed
 
 
 @attrs.define
 class Decisions:
-    """Hold what one look at the queues decided."""
+    """Hold the tickets placed and refused in one pass over the queues."""
 
     placed: list[Ticket] = attrs.field(factory=list)
     refused: list[Refusal] = attrs.field(factory=list)
 
 
 class Scheduler:
-    """Queue, admit and place the requests of one host."""
+    """Queue, admit and place the requests of one host.
+
+    Times are in milliseconds of any monotonic clock.
+    """
 
     def __init__(self, policy: Policy, seed: int) -> None:
-        """Begin with no engines; seed 0 draws from the system's entropy.
+        """Start without engines; seed 0 seeds from the system's entropy.
 
-        Hosts of the same seed would make the same choices at once.
+        Hosts with the same seed would make the same choices at the same
+        time.
         """
         self.policy = policy
-        self.hosts = 1  # live ones, this one included
-        self.wall_offset_ms = 0.0  # from the time passed in to wall time
+        self.hosts = 1  # live, including this one
+        self.wall_offset_ms = 0.0  # from the time passed in to wall-clock time
         self.lengths = LengthEstimates()
         self.prefixes = PrefixLengths()
         self._pools: dict[str, Pool] = {}
         self._random = Random(seed or None)
-        self._retries = RetryBudget()
-        self._made_room: list[Refusal] = []
-        self._picks: dict[str, Pick] = {
+        self._retry_budget = RetryBudget()
+        self._displaced: list[Refusal] = []
+        self._selectors: dict[str, Selector] = {
             "balsamlift": pick_best,
-            "round_robin": round_robin(),
-            "least_load": pick_least,
+            "round_robin": make_round_robin(),
+            "least_load": pick_least_loaded,
         }
 
     def set_engines(self, pool: str, engines: Iterable[Engine]) -> None:
-        """Replace the engines in use; those known keep their state."""
+        """Replace the engines; those already known keep their state."""
         self._pool(pool).set_engines(engines)
 
     def engines(self, pool: str) -> list[Engine]:
-        """Return the engines in use of a pool."""
+        """Return the engines of a pool."""
         return list(self._pool(pool).engines.values())
 
     def report(
         self, pool: str, name: str, report: LoadReport, now_ms: float
     ) -> None:
-        """Take in what an engine reports of its load."""
+        """Apply a load report of an engine."""
         engine = self._pool(pool).engines.get(name)
         if engine is not None:
             self._refresh(engine, now_ms)
-            engine.take_report(report)
+            engine.apply_report(report)
 
     def cache_event(
         self, pool: str, name: str, prefix: str, *, stored: bool
     ) -> None:
-        """Take in that an engine stored or evicted a prefix."""
+        """Apply a cache event: an engine stored or evicted a prefix."""
         engine = self._pool(pool).engines.get(name)
         if engine is None:
             return
@@ -97,14 +104,15 @@
             engine.forget_prefix(prefix)
 
     def expected_tokens(self, pool: str, name: str, now_ms: float) -> int:
-        """Return what peers are told: memory that ours will take there.
+        """Return the load to announce to peers for an upstream.
 
-        For a plain service it is the number of requests.
+        It is the peak memory, in tokens, expected of this host's requests
+        there; for a plain service, the number of requests.
         """
         engine = self._pool(pool).engines.get(name)
         if engine is None:
             return 0
-        if not engine.counts_memory:
+        if not engine.tracks_memory:
             return len(engine.tickets)
         self._refresh(engine, now_ms)
         return int(engine.profile.peak)
@@ -112,45 +120,48 @@
     def enqueue(self, ask: Ask, now_ms: float) -> Ticket:
         """Queue a request.
 
-        Raises `RefusedError` when it cannot make its deadline, or when
-        the queue is full and its workspace has its share of it.
+        Raises `RefusedError` if it would miss its deadline, or if the
+        queue is full and its workspace already has its share of it.
         """
         pool = self._pool(ask.pool)
         self.prefixes.observe(ask.prefix, ask.prompt_tokens)
-        ticket = Ticket(ask, now_ms, self._cost(ask))
-        pool.check(ticket, self.policy)
-        room = pool.make_room(ticket, self.policy)
-        if room is not None:
-            self._made_room.append(room)
+        ticket = Ticket(ask, now_ms, self._expected_cost(ask))
+        pool.check_deadline(ticket, self.policy)
+        displaced = pool.make_room(ticket, self.policy)
+        if displaced is not None:
+            self._displaced.append(displaced)
         pool.queue(ask.priority).push(ticket)
-        self._retries.earn(self.policy.retry_ratio)
+        self._retry_budget.earn(self.policy.retry_ratio)
         return ticket
 
     def decide(self, now_ms: float) -> Decisions:
-        """Place what fits, refuse what cannot make it any more."""
-        decisions = Decisions(refused=self._made_room)
-        self._made_room = []
+        """Place the tickets that fit; refuse those that became too late."""
+        decisions = Decisions(refused=self._displaced)
+        self._displaced = []
         for pool in self._pools.values():
-            pool.rate.tick(now_ms, pool.waiting() > 0)
+            pool.rate.advance(now_ms, pool.waiting_count() > 0)
             place = partial(self._place, pool, frozenset(), now_ms)
             for queue in pool.by_priority():
                 placed = queue.drain(place)
-                pool.rate.admitted(sum(ticket.cost for ticket in placed))
+                pool.rate.record_admitted(
+                    sum(ticket.cost for ticket in placed)
+                )
                 decisions.placed += placed
-            decisions.refused += pool.overdue(self.policy, now_ms)
+            decisions.refused += pool.remove_overdue(self.policy, now_ms)
         return decisions
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Take a ticket out of the queue."""
+        """Remove a ticket from the queue."""
         ask = ticket.ask
         self._pool(ask.pool).queue(ask.priority).remove(ticket)
 
     def choose(
         self, ticket: Ticket, exclude: frozenset[str], now_ms: float
     ) -> str:
-        """Return the upstream reserved, or reserve one not excluded.
+        """Return the upstream reserved for a ticket.
 
-        Raises `RefusedError` when there is none.
+        Reserves another one if there is none or it is excluded. Raises
+        `RefusedError` if no upstream fits.
         """
         pool = self._pool(ticket.ask.pool)
         if ticket.upstream in pool.engines and ticket.upstream not in exclude:
@@ -164,7 +175,7 @@
         return ticket.upstream
 
     def started(self, ticket: Ticket) -> None:
-        """Note that the generation runs."""
+        """Record that the generation runs on its upstream."""
         ticket.started = True
         engine = self._engine_of(ticket)
         if engine is not None:
@@ -173,7 +184,7 @@
     def progress(
         self, ticket: Ticket, tokens: int, gap_ms: float, now_ms: float
     ) -> None:
-        """Note tokens that arrived, and the gap before them."""
+        """Record tokens that arrived, and the gap before them."""
         ticket.tokens += tokens
         engine = self._engine_of(ticket)
         if engine is not None and gap_ms > 0:
@@ -182,34 +193,43 @@
     def refused(
         self, ticket: Ticket, reason: str, retry_ms: float, now_ms: float
     ) -> None:
-        """Note that the upstream said that the work did not run."""
+        """Release a ticket that its upstream refused without running it.
+
+        Closes the upstream for `retry_ms`, or for a fixed time if it is
+        draining.
+        """
         engine = self._engine_of(ticket)
         self.released(ticket)
         if engine is not None:
-            away_ms = DRAINING_MS if reason == "draining" else retry_ms
-            engine.close(now_ms + away_ms)
+            closed_ms = (
+                DRAINING_CLOSED_MS if reason == "draining" else retry_ms
+            )
+            engine.close(now_ms + closed_ms)
 
     def released(self, ticket: Ticket) -> None:
-        """Give back the place that a ticket holds."""
+        """Release the reservation of a ticket."""
         engine = self._engine_of(ticket)
         ticket.upstream = ""
         if engine is not None:
             engine.tickets.pop(ticket.ask.key, None)
-            engine.profile_ms = -1e9
+            engine.profile_updated_ms = -1e9
 
     def finished(self, ticket: Ticket, tokens: int) -> None:
-        """Learn from a whole answer and give back its place."""
+        """Record the length of a complete answer and release its ticket."""
         self.released(ticket)
         ask = ticket.ask
         if tokens > 0:
             self.lengths.observe(ask.workspace, ask.kind, tokens)
 
     def may_retry(self) -> bool:
-        """Take one retry from the budget, if there is one."""
-        return self._retries.spend()
+        """Take one retry from the budget; return whether one was left."""
+        return self._retry_budget.spend()
 
     def tick(self, now_ms: float) -> None:
-        """Adapt the limits, eject slow engines; some times a second."""
+        """Adapt concurrency limits and eject slow engines.
+
+        To be called several times a second.
+        """
         if self.policy.name != "balsamlift":
             return
         for pool in self._pools.values():
@@ -230,26 +250,26 @@
     def _engine_of(self, ticket: Ticket) -> Engine | None:
         return self._pool(ticket.ask.pool).engines.get(ticket.upstream)
 
-    def _points(self, ask: Ask) -> list[int]:
+    def _length_points(self, ask: Ask) -> list[int]:
         return self.lengths.points(ask.workspace, ask.kind, ask.max_tokens)
 
-    def _cost(self, ask: Ask) -> float:
-        rest = expected_rest(self._points(ask), 0)
-        return ask.prompt_tokens + min(rest, ask.max_tokens)
+    def _expected_cost(self, ask: Ask) -> float:
+        remaining = expected_remaining(self._length_points(ask), 0)
+        return ask.prompt_tokens + min(remaining, ask.max_tokens)
 
-    def _profile(self, ticket: Ticket) -> Profile:
+    def _profile(self, ticket: Ticket) -> MemoryProfile:
         ask = ticket.ask
         own_tokens = ask.prompt_tokens - self.prefixes.shared_tokens(
             ask.prefix
         )
         return generation_profile(
-            max(own_tokens, 0), ticket.tokens, self._points(ask)
+            max(own_tokens, 0), ticket.tokens, self._length_points(ask)
         )
 
     def _refresh(self, engine: Engine, now_ms: float) -> None:
-        if now_ms - engine.profile_ms < PROFILE_MS:
+        if now_ms - engine.profile_updated_ms < MAX_PROFILE_AGE_MS:
             return
-        engine.profile_ms = now_ms
+        engine.profile_updated_ms = now_ms
         engine.profile = total_profile(
             self._profile(ticket) for ticket in engine.tickets.values()
         )
@@ -268,24 +288,28 @@
         ]
         if not usable:
             return False
-        add = self._profile(ticket)
-        moment = self._moment(pool, now_ms)
-        pick = self._picks[self.policy.name]
-        engine = pick(usable, ticket.ask, add, moment)
+        demand = self._profile(ticket)
+        context = self._selection_context(pool, now_ms)
+        selector = self._selectors[self.policy.name]
+        engine = selector(usable, ticket.ask, demand, context)
         if engine is None:
             return False
         ticket.upstream = engine.name
         ticket.tokens = 0
         engine.tickets[ticket.ask.key] = ticket
-        engine.profile = engine.profile.plus(add)
+        engine.profile = engine.profile.plus(demand)
         return True
 
-    def _moment(self, pool: Pool, now_ms: float) -> Moment:
-        return Moment(
+    def _selection_context(
+        self, pool: Pool, now_ms: float
+    ) -> SelectionContext:
+        return SelectionContext(
             policy=self.policy,
             hosts=self.hosts,
             now_ms=now_ms,
             random=self._random,
-            turn=turn_at(pool.ring, self.policy, now_ms + self.wall_offset_ms),
+            turn=short_turn_at(
+                pool.rotation, self.policy, now_ms + self.wall_offset_ms
+            ),
             refresh=lambda engine: self._refresh(engine, now_ms),
         )
--- a/src/balsamlift/placement/_service.py
+++ b/src/balsamlift/placement/_service.py
@@ -1,4 +1,4 @@
-"""The service `placement`: the policy at work in a daemon."""
+"""The service `placement`: runs the scheduler of a host in its daemon."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 from balsamlift.kernel import Kernel
 from balsamlift.placement._ask import Ask, Ticket
 from balsamlift.placement._engine import Engine
-from balsamlift.placement._needs import (
+from balsamlift.placement._load_poller import LoadPoller
+from balsamlift.placement._policy import Policy
+from balsamlift.placement._pool import Refusal
+from balsamlift.placement._protocols import (
     MetricsService,
     PeersService,
     PresetsService,
@@ -20,66 +23,66 @@
     Upstream,
     UpstreamsService,
 )
-from balsamlift.placement._policy import Policy
-from balsamlift.placement._poll import LoadPoll
-from balsamlift.placement._pool import Refusal
 from balsamlift.placement._scheduler import Scheduler
 
 log = logger.bind(part="placement")
 
-LOOK_S = 0.05  # between two looks at the queues
-SEE_AGAIN_MS = 1_000.0  # upstreams are looked up anew, without any change
-RETRY_MS = 1_000  # when an upstream names no time
+UPDATE_INTERVAL_S = 0.05  # between two passes of the scheduler
+UPSTREAMS_REFRESH_MS = 1_000.0  # also without a change notification
+STOPPING_RETRY_AFTER_MS = 1_000  # sent to callers while the daemon stops
 
 
 class Placement:
-    """Admit requests and choose their upstreams."""
+    """Admit requests and choose their upstreams.
+
+    Requests wait in the scheduler's queue until a place is reserved.
+    """
 
     name = "placement"
 
     def __init__(self, clock: Clock, seed: int = 0) -> None:
-        """Begin with the default policy; `start` finds the rest."""
+        """Start with the default policy; `start` looks up the services."""
         self._clock = clock
         self._scheduler = Scheduler(Policy(), seed)
         self._waiters: dict[Ticket, asyncio.Future[None]] = {}
         self._upstreams: dict[str, Upstream] = {}
         self._pools: set[str] = set()
-        self._seen: set[str] = set()  # pools with their upstreams up to date
+        self._current_pools: set[str] = set()  # with current upstreams
         self._announced: set[str] = set()
-        self._see_again_ms = 0.0
-        self._looks: asyncio.Task[None] | None = None
+        self._refresh_at_ms = 0.0
+        self._update_task: asyncio.Task[None] | None = None
 
     async def start(self, kernel: Kernel) -> None:
-        """Find the other services; begin to look and to poll."""
-        self._source = kernel.find("upstreams", UpstreamsService)  # type: ignore[type-abstract]
+        """Look up the other services; start scheduling and polling."""
+        self._upstreams_service = kernel.find("upstreams", UpstreamsService)  # type: ignore[type-abstract]
         self._peers = kernel.find("peers", PeersService)  # type: ignore[type-abstract]
         self._presets = kernel.find("presets", PresetsService)  # type: ignore[type-abstract]
         self._metrics = kernel.find("metrics", MetricsService)  # type: ignore[type-abstract]
         self._timeline = kernel.find("timeline", TimelineService)  # type: ignore[type-abstract]
-        self._source.on_change(self._seen.clear)
-        self._poll = LoadPoll(self._clock, self._scheduler)
-        self._looks = asyncio.create_task(self._look_often())
+        self._upstreams_service.on_change(self._current_pools.clear)
+        self._load_poller = LoadPoller(self._clock, self._scheduler)
+        self._update_task = asyncio.create_task(self._update_loop())
 
     async def stop(self) -> None:
-        """End the task and the polls; refuse what still waits."""
-        if self._looks is not None:
-            self._looks.cancel()
+        """Stop scheduling and polling; refuse the requests still queued."""
+        if self._update_task is not None:
+            self._update_task.cancel()
             with suppress(asyncio.CancelledError):
-                await self._looks
-            await self._poll.stop()
-        error = RefusedError("stopping", RETRY_MS)
+                await self._update_task
+            await self._load_poller.stop()
+        error = RefusedError("stopping", STOPPING_RETRY_AFTER_MS)
         for ticket in list(self._waiters):
-            self._settle(ticket, error)
+            self._resolve(ticket, error)
 
     async def admit(self, ask: Ask) -> Ticket:
-        """Wait for a place; return its ticket.
+        """Queue a request until it is placed; return its ticket.
 
-        Raises `RefusedError` as soon as it is known that the request
-        cannot make its deadline, or that the queue is full.
+        Raises `RefusedError` as soon as it is known that the request will
+        miss its deadline, or that the queue is full.
         """
         self._pools.add(ask.pool)
         now_ms = self._now_ms()
-        self._see_pool(ask.pool)
+        self._refresh_pool(ask.pool)
         try:
             ticket = self._scheduler.enqueue(ask, now_ms)
         except RefusedError:
@@ -101,23 +104,23 @@
         return ticket
 
     def choose(self, ticket: Ticket, exclude: frozenset[str]) -> Upstream:
-        """Return where the ticket runs, none of those excluded.
+        """Return the upstream to run a ticket on, none of those excluded.
 
-        Raises `RefusedError` when there is none.
+        Raises `RefusedError` if there is none.
         """
         name = self._scheduler.choose(ticket, exclude, self._now_ms())
         self._timeline.record("placed", request=ticket.ask.key, upstream=name)
         return self._upstreams[name]
 
     def started(self, ticket: Ticket, upstream: Upstream) -> None:
-        """Note that the generation runs there."""
+        """Record that the generation runs on an upstream."""
         if ticket.upstream == upstream.name:
             self._scheduler.started(ticket)
 
     def progress(
         self, ticket: Ticket, upstream: Upstream, tokens: int, gap_ms: float
     ) -> None:
-        """Note tokens that arrived and the gap before them."""
+        """Record tokens that arrived, and the gap before them."""
         if ticket.upstream == upstream.name:
             now_ms = self._now_ms()
             self._scheduler.progress(ticket, tokens, gap_ms, now_ms)
@@ -130,25 +133,25 @@
         reason: str,
         retry_after_ms: int,
     ) -> None:
-        """Note that the upstream said that the work did not run."""
+        """Release a ticket that its upstream refused without running it."""
         self._metrics.count("placement.upstream_refused")
         if ticket.upstream == upstream.name:
             now_ms = self._now_ms()
             self._scheduler.refused(ticket, reason, retry_after_ms, now_ms)
 
     def released(self, ticket: Ticket, upstream: Upstream) -> None:
-        """Give back a place without a whole answer."""
+        """Release the reservation of a ticket without a complete answer."""
         if ticket.upstream == upstream.name:
             self._scheduler.released(ticket)
         self._decide()
 
     def finished(self, ticket: Ticket, tokens: int) -> None:
-        """Learn from a whole answer and give back its place."""
+        """Record the length of a complete answer and release its ticket."""
         self._scheduler.finished(ticket, tokens)
         self._decide()
 
     def may_retry(self) -> bool:
-        """Take one retry from the budget, if there is one."""
+        """Take one retry from the budget; return whether one was left."""
         allowed = self._scheduler.may_retry()
         if not allowed:
             self._metrics.count("placement.retry_denied")
@@ -157,15 +160,15 @@
     def _now_ms(self) -> float:
         return self._clock.monotonic() * 1_000
 
-    async def _look_often(self) -> None:
+    async def _update_loop(self) -> None:
         while True:
             try:
-                self._look()
+                self._update()
             except Exception:
-                log.exception("A look at the queues failed.")
-            await self._clock.sleep(LOOK_S)
+                log.exception("The scheduling pass failed.")
+            await self._clock.sleep(UPDATE_INTERVAL_S)
 
-    def _look(self) -> None:
+    def _update(self) -> None:
         now_ms = self._now_ms()
         in_force = self._presets.in_force()
         if in_force is not None:
@@ -173,30 +176,30 @@
         wall_ms = self._clock.now().timestamp() * 1_000
         self._scheduler.wall_offset_ms = wall_ms - now_ms
         self._scheduler.hosts = len(self._peers.live()) + 1
-        if now_ms >= self._see_again_ms:
-            self._see_again_ms = now_ms + SEE_AGAIN_MS
-            self._seen.clear()
+        if now_ms >= self._refresh_at_ms:
+            self._refresh_at_ms = now_ms + UPSTREAMS_REFRESH_MS
+            self._current_pools.clear()
         for pool in self._pools:
-            self._see_pool(pool)
+            self._refresh_pool(pool)
             for engine in self._scheduler.engines(pool):
                 engine.peers_tokens = self._peers.in_flight(engine.name)
-        self._poll.look(self._upstreams)
+        self._load_poller.start_due_polls(self._upstreams)
         self._scheduler.tick(now_ms)
         self._decide()
         self._announce(now_ms)
 
-    def _see_pool(self, pool: str) -> None:
-        if pool in self._seen:
+    def _refresh_pool(self, pool: str) -> None:
+        if pool in self._current_pools:
             return
-        self._seen.add(pool)
-        upstreams = self._source.in_pool(pool)
+        self._current_pools.add(pool)
+        upstreams = self._upstreams_service.in_pool(pool)
         for upstream in upstreams:
             self._upstreams[upstream.name] = upstream
         self._scheduler.set_engines(
             pool,
             [
                 Engine(
-                    u.name, u.failure_domain, counts_memory=u.kind != "service"
+                    u.name, u.failure_domain, tracks_memory=u.kind != "service"
                 )
                 for u in upstreams
             ],
@@ -219,15 +222,15 @@
     def _decide(self) -> None:
         decisions = self._scheduler.decide(self._now_ms())
         for ticket in decisions.placed:
-            self._settle(ticket, None)
+            self._resolve(ticket, None)
         for refusal in decisions.refused:
             self._refuse(refusal)
 
     def _refuse(self, refusal: Refusal) -> None:
         self._metrics.count("placement.refused")
-        self._settle(refusal.ticket, refusal.error)
+        self._resolve(refusal.ticket, refusal.error)
 
-    def _settle(self, ticket: Ticket, error: RefusedError | None) -> None:
+    def _resolve(self, ticket: Ticket, error: RefusedError | None) -> None:
         waiter = self._waiters.pop(ticket, None)
         if waiter is None or waiter.done():
             if error is None:
--- /dev/null
+++ b/src/balsamlift/placement/_wait_estimate.py
@@ -0,0 +1,52 @@
+"""Estimate queue waits from the observed rate of admission."""
+
+from __future__ import annotations
+
+from math import exp
+
+AVERAGING_MS = 5_000.0  # time constant of the moving average
+MIN_RETRY_AFTER_MS = 50
+MAX_RETRY_AFTER_MS = 60_000
+
+
+class ServiceRate:
+    """Measure the tokens admitted per millisecond while there is a backlog."""
+
+    def __init__(self) -> None:
+        """Start without measurements."""
+        self._tokens = 0.0
+        self._time_ms = 0.0
+        self._last_ms: float | None = None
+
+    def advance(self, now_ms: float, backlog: bool) -> None:
+        """Advance to `now_ms`; the time counts only with a backlog."""
+        last_ms, self._last_ms = self._last_ms, now_ms
+        if last_ms is None or not backlog or now_ms <= last_ms:
+            return
+        elapsed_ms = now_ms - last_ms
+        decay = exp(-elapsed_ms / AVERAGING_MS)
+        self._tokens *= decay
+        self._time_ms = self._time_ms * decay + elapsed_ms
+
+    def record_admitted(self, tokens: float) -> None:
+        """Record tokens admitted from the queue."""
+        self._tokens += tokens
+
+    def wait_ms(self, tokens: float) -> float:
+        """Return the wait for `tokens` to be admitted; 0 while unknown."""
+        if self._time_ms < AVERAGING_MS / 10:
+            return 0.0
+        rate = max(self._tokens / self._time_ms, 1e-3)
+        return tokens / rate
+
+
+def retry_after_ms(
+    wait_ms: float, max_wait_ms: float, service_time_ms: float
+) -> int:
+    """Return after which time a retry would find the wait acceptable.
+
+    It is at least `service_time_ms`, the time that admitting the request
+    itself takes.
+    """
+    excess_ms = max(wait_ms - max_wait_ms, service_time_ms)
+    return int(min(max(excess_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS))
--- a/tests/_orders_bench.py
+++ b/tests/_orders_harness.py
@@ -1,4 +1,4 @@
-"""Hosts that give orders, and engines, in one process."""
+"""Hosts with the service `orders`, and engines, in one process."""
 
 import asyncio
 import random
@@ -33,7 +33,7 @@
 
 
 class NoPeers(Peers):
-    """Know of no other host."""
+    """Fake of `peers` that knows no other host."""
 
     def __init__(self):
         pass
@@ -47,7 +47,7 @@
 
 
 class FixedUpstreams(Upstreams):
-    """List the engines given."""
+    """Fake of `upstreams` that lists a fixed set of engines."""
 
     def __init__(self, engines):
         self._engines = engines
@@ -66,22 +66,22 @@
 
 
 class PausingClock(SystemClock):
-    """Let no sleep end while paused; time goes on."""
+    """Clock whose sleeps do not end while paused; its time goes on."""
 
     def __init__(self):
-        self.runs = asyncio.Event()
-        self.runs.set()
+        self.running = asyncio.Event()
+        self.running.set()
 
     async def sleep(self, delay_s):
         await super().sleep(delay_s)
-        await self.runs.wait()
+        await self.running.wait()
 
 
-class Giver:
-    """A host with the service `orders`, which can be held up."""
+class OrderingHost:
+    """Host with the service `orders` whose HTTP calls can be blocked."""
 
     def __init__(self, host, engines, settings):
-        self.host = host
+        self.preset_host = host
         self.clock = PausingClock()
         self.orders = Orders(
             f"{host.name}~1",
@@ -92,77 +92,81 @@
         )
         self._engines = engines
         self._call = host.http.call
-        host.http.call = self._held_call
+        host.http.call = self._blocking_call
         self._read = host.http.read
-        host.http.read = self._held_read
-        self.holds_back = lambda method, url: False
-        self.let_go = asyncio.Event()
-        self.held = asyncio.Event()
+        host.http.read = self._blocking_read
+        self.should_block = lambda method, url: False
+        self.unblock = asyncio.Event()
+        self.blocked = asyncio.Event()
 
     async def start(self):
         kernel = Kernel()
         upstreams = FixedUpstreams(self._engines)
-        for service in (self.host.presets, self.host.timeline, upstreams):
+        for service in (
+            self.preset_host.presets,
+            self.preset_host.timeline,
+            upstreams,
+        ):
             kernel.register(service)
         kernel.register(NoPeers())
         await self.orders.start(kernel)
 
     def events(self, kind):
-        return self.host.timeline.events(kind=kind)
+        return self.preset_host.timeline.events(kind=kind)
 
-    async def _held_call(self, method, url, *arguments, **options):
-        await self._hold(method, url)
+    async def _blocking_call(self, method, url, *arguments, **options):
+        await self._block(method, url)
         return await self._call(method, url, *arguments, **options)
 
-    async def _held_read(self, url, *arguments, **options):
-        await self._hold("GET", url)
+    async def _blocking_read(self, url, *arguments, **options):
+        await self._block("GET", url)
         return await self._read(url, *arguments, **options)
 
-    async def _hold(self, method, url):
-        if self.holds_back(method, url):
-            self.held.set()
-            await self.let_go.wait()
+    async def _block(self, method, url):
+        if self.should_block(method, url):
+            self.blocked.set()
+            await self.unblock.wait()
 
 
-class World:
-    """A platform, engines and hosts that give orders."""
+class Cluster:
+    """Platform, engines and hosts with the service `orders`."""
 
-    def __init__(self, made, engines):
-        self.made = made
+    def __init__(self, preset_deployment, engines):
+        self.preset_deployment = preset_deployment
         self.engines = engines
-        self.givers = []
+        self.hosts = []
 
-    async def giver(self, name, **changes):
-        host = await self.made.host(name)
+    async def add_host(self, name, **changes):
+        host = await self.preset_deployment.host(name)
         settings = attrs.evolve(SETTINGS, **changes)
-        giver = Giver(host, self.engines, settings)
-        self.givers.append(giver)
-        await giver.start()
-        return giver
+        ordering_host = OrderingHost(host, self.engines, settings)
+        self.hosts.append(ordering_host)
+        await ordering_host.start()
+        return ordering_host
 
-    async def want(self, model):
-        """Publish and switch to a preset that wants this model."""
+    async def switch_to(self, model):
+        """Publish a preset with this model and switch to it."""
         preset = attrs.evolve(
             make_preset(model),
             pools={POOL: PoolPreset(model=model, version="1")},
         )
-        await self.made.operator().publish(preset)
-        result = await self.made.operator().switch(model)
+        await self.preset_deployment.operator().publish(preset)
+        result = await self.preset_deployment.operator().switch(model)
         assert result.state == "accepted"
         return result.generation
 
-    def all_are(self, model):
+    def all_run(self, model):
         states = [engine.orders.state for engine in self.engines]
         return all(s.model == model and not s.loading for s in states)
 
-    def loading(self):
+    def loading_count(self):
         return sum(engine.orders.state.loading for engine in self.engines)
 
 
 @asynccontextmanager
-async def world(engines=1, checks_fence=True, load_ms=20):
-    """Run a platform and engines; stop all at the end."""
-    async with deployment(weight_loads_per_s=100.0) as made:
+async def run_cluster(engines=1, checks_fence=True, load_ms=20):
+    """Run a platform and engines; stop them at the end."""
+    async with deployment(weight_loads_per_s=100.0) as preset_deployment:
         running = [
             Engine(
                 EngineSettings(
@@ -177,13 +181,13 @@
         ]
         for engine in running:
             await engine.start()
-        made_world = World(made, running)
+        cluster = Cluster(preset_deployment, running)
         try:
-            yield made_world
+            yield cluster
         finally:
-            for giver in made_world.givers:
-                giver.let_go.set()
-                giver.clock.runs.set()
-                await giver.orders.stop()
+            for ordering_host in cluster.hosts:
+                ordering_host.unblock.set()
+                ordering_host.clock.running.set()
+                await ordering_host.orders.stop()
             for engine in running:
                 await engine.stop()
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,7 +1,7 @@
 import asyncio
 
 import pytest
-from _orders_bench import SETTINGS, world
+from _orders_harness import SETTINGS, run_cluster
 from presets_bench import eventually
 
 from balsamlift.orders._lease import LeaseView
@@ -22,66 +22,68 @@
 
 
 @pytest.mark.parametrize("checks_fence", [True, False])
-def test_order_of_a_stale_holder_does_no_lasting_harm(checks_fence):
+def test_order_of_a_stale_holder_is_refused_or_repaired(checks_fence):
     async def main():
-        async with world(checks_fence=checks_fence) as made:
-            [engine] = made.engines
-            stale = await made.giver("a")
-            await made.want("first")
-            await eventually(lambda: made.all_are("first"))
-            # Paused between its check of the lease and the send; renewals
-            # are held back too.
-            stale.holds_back = lambda method, url: (
+        async with run_cluster(checks_fence=checks_fence) as cluster:
+            [engine] = cluster.engines
+            stale = await cluster.add_host("a")
+            await cluster.switch_to("first")
+            await eventually(lambda: cluster.all_run("first"))
+            # Block the host between its check of the lease and the send;
+            # block its renewals too.
+            stale.should_block = lambda method, url: (
                 is_order(method, url)
-                or (stale.held.is_set() and is_log(method, url))
+                or (stale.blocked.is_set() and is_log(method, url))
             )
-            await made.want("second")
-            await stale.held.wait()
-            fresh = await made.giver("b")
-            await eventually(lambda: made.all_are("second"))
-            await made.want("third")
-            await eventually(lambda: made.all_are("third"))
+            await cluster.switch_to("second")
+            await stale.blocked.wait()
+            fresh = await cluster.add_host("b")
+            await eventually(lambda: cluster.all_run("second"))
+            await cluster.switch_to("third")
+            await eventually(lambda: cluster.all_run("third"))
             assert not stale.orders.holds_lease
-            taken = engine.orders.accepted + engine.orders.refused
-            stale.let_go.set()
+            handled = engine.orders.accepted + engine.orders.refused
+            stale.unblock.set()
             await eventually(
-                lambda: engine.orders.accepted + engine.orders.refused > taken
+                lambda: (
+                    engine.orders.accepted + engine.orders.refused > handled
+                )
             )
             if checks_fence:
                 assert engine.orders.refused == 1
-                assert made.all_are("third")
+                assert cluster.all_run("third")
                 await eventually(lambda: stale.events("order_refused"))
             else:
-                assert engine.orders.accepted > taken
-                await eventually(lambda: made.all_are("third"))
+                assert engine.orders.accepted > handled
+                await eventually(lambda: cluster.all_run("third"))
                 assert fresh.orders.holds_lease
 
     asyncio.run(main())
 
 
-def test_holder_that_wakes_after_its_lease_gives_no_order():
+def test_holder_resumed_after_its_lease_sends_no_order():
     async def main():
-        async with world(checks_fence=False, load_ms=100) as made:
-            [engine] = made.engines
-            stale = await made.giver("a")
-            generation = await made.want("first")
+        async with run_cluster(checks_fence=False, load_ms=100) as cluster:
+            [engine] = cluster.engines
+            stale = await cluster.add_host("a")
+            generation = await cluster.switch_to("first")
             await eventually(lambda: engine.orders.state.loading)
-            # It sleeps until the engine has loaded, and never reads the
-            # log again.
-            stale.clock.runs.clear()
-            stale.holds_back = is_log
+            # The host is paused until the engine has loaded, and never
+            # reads the log again.
+            stale.clock.running.clear()
+            stale.should_block = is_log
             await eventually(lambda: not stale.orders.holds_lease)
-            fresh = await made.giver("b")
-            await made.want("second")
-            await eventually(lambda: made.all_are("second"))
+            fresh = await cluster.add_host("b")
+            await cluster.switch_to("second")
+            await eventually(lambda: cluster.all_run("second"))
             sent = len(stale.events("order_sent"))
-            stale.clock.runs.set()
+            stale.clock.running.set()
             await eventually(lambda: stale.events("lease_lost"))
-            assert stale.host.generation() == generation
+            assert stale.preset_host.generation() == generation
             assert stale.orders.fence(generation) is None
             engine.orders.take(stale_order())
-            assert not made.all_are("second")
-            await eventually(lambda: made.all_are("second"))
+            assert not cluster.all_run("second")
+            await eventually(lambda: cluster.all_run("second"))
             assert fresh.orders.holds_lease
             assert len(stale.events("order_sent")) == sent
 
@@ -90,14 +92,16 @@
 
 def test_orders_carry_a_lease_newer_than_their_switch():
     async def main():
-        async with world() as made:
-            giver = await made.giver("a")
+        async with run_cluster() as cluster:
+            host = await cluster.add_host("a")
             switched = {}
             for model in ("first", "second"):
-                generation = await made.want(model)
-                await eventually(lambda model=model: made.all_are(model))
-                switched[generation] = giver.host.presets.in_force().offset
-            sent = [event.detail for event in giver.events("order_sent")]
+                generation = await cluster.switch_to(model)
+                await eventually(lambda model=model: cluster.all_run(model))
+                switched[generation] = (
+                    host.preset_host.presets.in_force().offset
+                )
+            sent = [event.detail for event in host.events("order_sent")]
             assert {order["generation"] for order in sent} == {1, 2}
             for order in sent:
                 assert order["fence"] > switched[order["generation"]]
@@ -107,95 +111,97 @@
 
 def test_one_engine_of_a_pool_loads_at_a_time_on_a_switch():
     async def main():
-        async with world(engines=4, load_ms=60) as made:
-            await made.giver("a")
-            await made.want("first")
-            await eventually(lambda: made.all_are("first"))
-            most = 0
+        async with run_cluster(engines=4, load_ms=60) as cluster:
+            await cluster.add_host("a")
+            await cluster.switch_to("first")
+            await eventually(lambda: cluster.all_run("first"))
+            max_loading = 0
 
             def done():
-                nonlocal most
-                most = max(most, made.loading())
-                return made.all_are("second")
+                nonlocal max_loading
+                max_loading = max(max_loading, cluster.loading_count())
+                return cluster.all_run("second")
 
-            await made.want("second")
+            await cluster.switch_to("second")
             await eventually(done)
-            assert most == 1
-            assert [engine.orders.loads for engine in made.engines] == [2] * 4
+            assert max_loading == 1
+            assert [engine.orders.loads for engine in cluster.engines] == [
+                2
+            ] * 4
 
     asyncio.run(main())
 
 
-def test_switch_midway_never_adds_a_loading_engine():
+def test_switch_during_a_load_never_adds_a_loading_engine():
     async def main():
-        async with world(engines=3, load_ms=700) as made:
-            await made.giver("a")
-            await made.want("first")
-            second = made.engines[1].orders
+        async with run_cluster(engines=3, load_ms=700) as cluster:
+            await cluster.add_host("a")
+            await cluster.switch_to("first")
+            second = cluster.engines[1].orders
             await eventually(lambda: second.state.loading)
-            most = 0
+            max_loading = 0
 
             def done():
-                nonlocal most
-                most = max(most, made.loading())
-                return made.all_are("second")
+                nonlocal max_loading
+                max_loading = max(max_loading, cluster.loading_count())
+                return cluster.all_run("second")
 
-            await made.want("second")
+            await cluster.switch_to("second")
             await eventually(done)
-            assert most == 1
+            assert max_loading == 1
 
     asyncio.run(main())
 
 
-def test_new_holder_begins_with_what_is_loading():
+def test_new_holder_starts_with_engines_that_are_loading():
     async def main():
-        async with world(engines=2, load_ms=2_000) as made:
-            await made.want("first")
-            made.engines[1].orders.take(stale_order())
-            await made.giver("a")
-            most = 0
+        async with run_cluster(engines=2, load_ms=2_000) as cluster:
+            await cluster.switch_to("first")
+            cluster.engines[1].orders.take(stale_order())
+            await cluster.add_host("a")
+            max_loading = 0
 
             def done():
-                nonlocal most
-                most = max(most, made.loading())
-                return made.all_are("first")
+                nonlocal max_loading
+                max_loading = max(max_loading, cluster.loading_count())
+                return cluster.all_run("first")
 
             await eventually(done)
-            assert most == 1
+            assert max_loading == 1
 
     asyncio.run(main())
 
 
 def test_holder_stops_at_its_term_while_the_log_is_down():
     async def main():
-        async with world(checks_fence=False) as made:
-            [engine] = made.engines
-            holder = await made.giver("a")
-            generation = await made.want("first")
-            await eventually(lambda: made.all_are("first"))
-            made.made.fault(down=True)
+        async with run_cluster(checks_fence=False) as cluster:
+            [engine] = cluster.engines
+            holder = await cluster.add_host("a")
+            generation = await cluster.switch_to("first")
+            await eventually(lambda: cluster.all_run("first"))
+            cluster.preset_deployment.fault(down=True)
             await eventually(lambda: holder.events("lease_lost"))
             sent = len(holder.events("order_sent"))
             engine.orders.take(stale_order())
-            await eventually(lambda: made.all_are("stale"))
+            await eventually(lambda: cluster.all_run("stale"))
             assert holder.orders.fence(generation) is None
             assert len(holder.events("order_sent")) == sent
-            made.made.fault(down=False)
+            cluster.preset_deployment.fault(down=False)
             await eventually(lambda: holder.events("order_repaired"))
-            assert made.all_are("first")
+            assert cluster.all_run("first")
 
     asyncio.run(main())
 
 
 def test_lease_passes_to_another_host_after_its_term():
     async def main():
-        async with world() as made:
-            givers = [await made.giver(name) for name in "abc"]
-            await made.want("first")
-            await eventually(lambda: any(g.orders.holds_lease for g in givers))
-            [holder] = [g for g in givers if g.orders.holds_lease]
+        async with run_cluster() as cluster:
+            hosts = [await cluster.add_host(name) for name in "abc"]
+            await cluster.switch_to("first")
+            await eventually(lambda: any(g.orders.holds_lease for g in hosts))
+            [holder] = [g for g in hosts if g.orders.holds_lease]
             await holder.orders.stop()
-            others = [g for g in givers if g is not holder]
+            others = [g for g in hosts if g is not holder]
             await eventually(lambda: any(g.orders.holds_lease for g in others))
             assert not holder.orders.holds_lease
             assert sum(g.orders.holds_lease for g in others) == 1
@@ -203,7 +209,7 @@
     asyncio.run(main())
 
 
-class SetClock:
+class ManualClock:
     def __init__(self):
         self.now_s = 100.0
 
@@ -213,45 +219,45 @@
 
 @pytest.fixture
 def clock():
-    return SetClock()
+    return ManualClock()
 
 
 def lease(offset, holder):
     return LeaseInForce(offset=offset, holder=holder, term_ms=10_000)
 
 
-def test_holder_counts_from_before_its_first_append(clock):
+def test_holder_measures_term_from_before_its_first_append(clock):
     view = LeaseView("a", clock)
     view.begin_append()
     clock.now_s += 4
-    view.begin_append()  # the answer to the first was lost
+    view.begin_append()  # the response to the first was lost
     clock.now_s += 1
     view.observe(lease(7, "a"))
-    assert view.left_s == 5
+    assert view.remaining_s == 5
     assert view.offset == 7
 
 
-def test_others_count_from_after_they_read(clock):
+def test_others_measure_term_from_after_they_read(clock):
     view = LeaseView("b", clock)
     clock.now_s += 3
     view.observe(lease(7, "a"))
     clock.now_s += 1
     view.observe(lease(7, "a"))
     assert view.free_in_s == 9
-    assert view.left_s == 0
+    assert view.remaining_s == 0
 
 
-def test_older_lease_never_comes_back(clock):
+def test_older_lease_never_replaces_a_newer_one(clock):
     view = LeaseView("b", clock)
     view.observe(lease(9, "a"))
     view.begin_append()
     view.observe(lease(7, "b"))
     assert view.offset == 9
-    assert view.left_s == 0
+    assert view.remaining_s == 0
 
 
 def test_own_lease_without_an_append_is_not_held(clock):
     view = LeaseView("a", clock)
     view.observe(lease(7, "a"))
-    assert view.left_s == 0
+    assert view.remaining_s == 0
     assert view.free_in_s == SETTINGS.term_ms / 1_000 + 7
--- a/tests/test_placement_experiment.py
+++ b/tests/test_placement_experiment.py
@@ -1,4 +1,4 @@
-"""The experiment itself: repeatable, and no request is lost in it."""
+"""The experiment is deterministic, and every request in it ends."""
 
 import pytest
 
@@ -33,6 +33,6 @@
     assert ended == result.requests > 0
 
 
-def test_a_run_repeats():
+def test_run_is_deterministic():
     case = make_case("slow", "balsamlift")
     assert run_case(case, 16.0) == run_case(case, 16.0)
--- a/tests/test_placement_scheduler.py
+++ b/tests/test_placement_scheduler.py
@@ -1,4 +1,4 @@
-"""The policy of one host, with an explicit time."""
+"""The scheduler of one host and its parts, in virtual time."""
 
 from random import Random
 
@@ -13,7 +13,7 @@
 from balsamlift.placement._forecast import generation_profile
 from balsamlift.placement._lengths import LengthEstimates, survival
 from balsamlift.placement._queue import FairQueue
-from balsamlift.placement._turns import ring_of, turn_at
+from balsamlift.placement._short_turns import rotation_order, short_turn_at
 
 POOL = "drafting"
 
@@ -36,13 +36,13 @@
 
 
 def fill(scheduler, count, now_ms=0.0, **fields):
-    """Queue requests until `count` are queued; return what was placed."""
+    """Queue `count` requests; return the tickets placed."""
     for index in range(count):
         scheduler.enqueue(make_ask(f"k{index}", **fields), now_ms)
     return scheduler.decide(now_ms).placed
 
 
-def test_estimates_fall_back_to_the_kind_and_learn_the_pair():
+def test_length_estimates_fall_back_to_the_kind_until_learned():
     estimates = LengthEstimates()
     for _ in range(100):
         estimates.observe("a", "report", 500)
@@ -59,27 +59,27 @@
     st.integers(0, 6_000),
     st.integers(0, 4_000),
 )
-def test_survival_is_a_chance_and_falls(points, produced, ahead):
+def test_survival_is_a_decreasing_probability(points, produced, ahead):
     points = sorted(points)
-    chance = survival(points, produced, ahead)
-    assert 0.0 <= chance <= 1.0
-    assert survival(points, produced, ahead + 100) <= chance
+    probability = survival(points, produced, ahead)
+    assert 0.0 <= probability <= 1.0
+    assert survival(points, produced, ahead + 100) <= probability
 
 
-def test_memory_forecast_is_conditioned_on_what_was_produced():
+def test_memory_forecast_depends_on_tokens_produced():
     points = [100] * 60 + [5_000] * 4
-    fresh = generation_profile(100, 0, points)
-    late = generation_profile(100, 150, points)
-    assert late.peak > 4 * fresh.peak
+    new = generation_profile(100, 0, points)
+    running = generation_profile(100, 150, points)
+    assert running.peak > 4 * new.peak
 
 
-def test_memory_bounds_what_is_placed():
+def test_memory_limits_placements():
     scheduler = make_scheduler(engines=1, memory=10_000)
     placed = fill(scheduler, 50, prompt_tokens=1_000, max_tokens=1_000)
     assert 1 <= len(placed) <= 10
 
 
-def test_reserved_head_room_is_left_to_priority_0():
+def test_reserved_headroom_is_kept_for_priority_0():
     policy = Policy(reserve_share=0.5, queue_requests=1_000)
     counts = []
     for priority in (0, 1):
@@ -90,7 +90,7 @@
     assert counts[0] > 1.5 * counts[1]
 
 
-def test_many_hosts_take_no_more_than_one_would():
+def test_many_hosts_together_take_at_most_half_more_than_one():
     alone = make_scheduler(engines=1, memory=20_000)
     most = len(fill(alone, 100, max_tokens=4_000))
     total = 0
@@ -119,7 +119,7 @@
     assert large / len(placed) == pytest.approx(0.75, abs=0.02)
 
 
-def test_a_full_queue_gives_way_to_the_workspace_with_little_waiting():
+def test_full_queue_displaces_the_workspace_with_the_largest_backlog():
     scheduler = make_scheduler(Policy(queue_requests=5), engines=0)
     for index in range(5):
         scheduler.enqueue(make_ask(f"k{index}", workspace="crowd"), 0.0)
@@ -131,7 +131,7 @@
     assert refused[0].error.reason == "queue_full"
 
 
-def test_refuses_at_once_by_the_observed_rate():
+def test_refuses_on_arrival_by_the_observed_rate():
     scheduler = make_scheduler(engines=1, memory=4_000)
     now_ms = 0.0
     error = None
@@ -148,7 +148,7 @@
     assert error.retry_after_ms >= 50
 
 
-def test_a_request_that_cannot_be_in_time_is_refused_on_arrival():
+def test_request_that_would_miss_its_deadline_is_refused_on_arrival():
     scheduler = make_scheduler()
     with pytest.raises(RefusedError) as caught:
         scheduler.enqueue(make_ask("k", deadline_ms=10.0), 0.0)
@@ -170,43 +170,45 @@
     assert closed == ["e0"]
     slow = scheduler.engines(POOL)[0]
     assert not slow.is_closed(now_ms + Policy().eject_ms)
-    back_ms = slow.returned_ms
+    back_ms = slow.ramp_up_start_ms
     shares = [
-        slow.return_share(Policy(), back_ms + away) for away in (0, 2e3, 9e3)
+        slow.ramp_up_share(Policy(), back_ms + away) for away in (0, 2e3, 9e3)
     ]
     assert shares == sorted(shares)
     assert shares[0] < 0.2
     assert shares[-1] == 1.0
 
 
-def test_each_engine_has_its_turn_and_two_are_never_short_at_once():
-    ring = ring_of(f"e{i}" for i in range(5))
+def test_each_engine_is_reserved_in_turn_one_at_a_time():
+    rotation = rotation_order(f"e{i}" for i in range(5))
     policy = Policy()
     seen = set()
     for step in range(300):
-        turn = turn_at(ring, policy, step * 100.0)
-        assert len(turn.short) == 1
-        assert turn.short <= turn.closed_to_long
+        turn = short_turn_at(rotation, policy, step * 100.0)
+        assert len(turn.reserved) == 1
+        assert turn.reserved <= turn.closed_to_long
         assert len(turn.closed_to_long) <= 3
-        seen |= turn.short
-    assert seen == set(ring)
+        seen |= turn.reserved
+    assert seen == set(rotation)
 
 
-def test_long_work_keeps_off_the_engine_that_has_its_turn():
+def test_long_requests_avoid_the_reserved_engine():
     scheduler = make_scheduler(engines=5)
-    (short,) = turn_at(
-        ring_of(e.name for e in scheduler.engines(POOL)), Policy(), 3_000.0
-    ).short
+    (reserved,) = short_turn_at(
+        rotation_order(e.name for e in scheduler.engines(POOL)),
+        Policy(),
+        3_000.0,
+    ).reserved
     placed = fill(scheduler, 40, 3_000.0, max_tokens=200)
     assert {t.upstream for t in placed} == {
-        e.name for e in scheduler.engines(POOL) if e.name != short
+        e.name for e in scheduler.engines(POOL) if e.name != reserved
     }
     ticket = scheduler.enqueue(make_ask("s", priority=0), 3_000.0)
     scheduler.decide(3_000.0)
-    assert ticket.upstream == short
+    assert ticket.upstream == reserved
 
 
-def test_the_wait_counts_what_others_are_served_meanwhile():
+def test_wait_includes_tokens_served_to_other_workspaces():
     queue = FairQueue()
     for index in range(10):
         ask = make_ask(f"l{index}", workspace="large", weight=4.0)
--- a/tests/test_placement_service.py
+++ b/tests/test_placement_service.py
@@ -1,4 +1,4 @@
-"""The service `placement`, between fakes of the other services."""
+"""The service `placement` with fakes of the other services."""
 
 import asyncio
 from types import SimpleNamespace
@@ -25,7 +25,7 @@
     def __init__(self, name, policy, upstreams):
         self.name = name
         self.upstreams = upstreams
-        self.told = {}
+        self.announced = {}
         self.counts = {}
         self._policy = policy
 
@@ -45,7 +45,7 @@
         return 0
 
     def set_in_flight(self, upstream, n):
-        self.told[upstream] = n
+        self.announced[upstream] = n
 
     def live(self):
         return []
@@ -88,7 +88,7 @@
     asyncio.run(main())
 
 
-def test_admits_chooses_and_moves_on_after_a_refusal():
+def test_chooses_another_upstream_after_a_refusal():
     async def scenario(placement, services):
         ticket = await placement.admit(make_ask("k"))
         first = placement.choose(ticket, frozenset())
@@ -113,7 +113,7 @@
     run(scenario, upstreams=[FakeUpstream("u1")])
 
 
-def test_refuses_waiting_requests_once_they_are_late():
+def test_refuses_queued_requests_past_their_deadline():
     async def scenario(placement, services):
         with pytest.raises(RefusedError) as caught:
             await placement.admit(make_ask("k"))
@@ -123,7 +123,7 @@
     run(scenario, policy=Policy(queue_wait_ms=200))
 
 
-def test_an_abandoned_wait_gives_its_place_back():
+def test_cancelled_admission_releases_its_place():
     async def scenario(placement, services):
         waiting = asyncio.create_task(placement.admit(make_ask("k1")))
         await asyncio.sleep(0)
@@ -134,16 +134,16 @@
         services["upstreams"].changed()
         ticket = await placement.admit(make_ask("k2"))
         assert placement.choose(ticket, frozenset()).name == "u1"
-        while services["peers"].told.get("u1") != 1:
+        while services["peers"].announced.get("u1") != 1:
             await asyncio.sleep(0.01)
         placement.finished(ticket, 1)
-        while services["peers"].told.get("u1") != 0:
+        while services["peers"].announced.get("u1") != 0:
             await asyncio.sleep(0.01)
 
     run(scenario)
 
 
-def test_retries_run_out():
+def test_retry_budget_runs_out():
     async def scenario(placement, services):
         allowed = [placement.may_retry() for _ in range(100)]
         assert allowed[0]
