--- a/bench/placement_cost.py
+++ b/bench/placement_cost.py
@@ -38,8 +38,8 @@
 
 from balsamlift.peers._hosts_list import ListEntry
 from balsamlift.placement import Policy
-from balsamlift.placement._ask import Ask
 from balsamlift.placement._engine import Engine, LoadReport
+from balsamlift.placement._request import PlacementRequest
 from balsamlift.placement._scheduler import Scheduler
 
 T = TypeVar("T")
@@ -178,7 +178,7 @@
 def _admit(scheduler: Scheduler, number: int, workspace: str) -> None:
     """Take one request from its arrival to its whole answer."""
     now_ms = 1_000.0 * number
-    ask = Ask(
+    ask = PlacementRequest(
         key=f"key-{number}",
         workspace=workspace,
         kind="report",
--- a/src/balsamlift/placement/_engine.py
+++ b/src/balsamlift/placement/_engine.py
@@ -4,9 +4,9 @@
 
 import attrs
 
-from balsamlift.placement._ask import Ticket
 from balsamlift.placement._forecast import MemoryProfile, PeerLoad
 from balsamlift.placement._policy import Policy
+from balsamlift.placement._request import Ticket
 
 GAP_WINDOW_MS = 500.0  # over which gaps between tokens are averaged
 GAP_SMOOTHING = 0.5  # weight of the newest window
--- a/src/balsamlift/placement/_pool.py
+++ b/src/balsamlift/placement/_pool.py
@@ -7,10 +7,10 @@
 import attrs
 
 from balsamlift.exceptions import RefusedError
-from balsamlift.placement._ask import Ticket
 from balsamlift.placement._engine import Engine
 from balsamlift.placement._policy import Policy
 from balsamlift.placement._queue import FairQueue
+from balsamlift.placement._request import Ticket
 from balsamlift.placement._short_turns import rotation_order
 from balsamlift.placement._wait_estimate import ServiceRate, retry_after_ms
 
@@ -58,13 +58,13 @@
 
     def wait_ms(self, ticket: Ticket) -> float:
         """Return the estimated wait of a new ticket."""
-        ask = ticket.ask
-        queue = self.queue(ask.priority)
+        request = ticket.request
+        queue = self.queue(request.priority)
         own_tokens = queue.tokens_before(
-            ask.workspace, queue.cost(ask.workspace)
+            request.workspace, queue.cost(request.workspace)
         )
         return self.rate.wait_ms(
-            self._higher_priority_cost(ask.priority) + own_tokens
+            self._higher_priority_cost(request.priority) + own_tokens
         )
 
     def check_deadline(self, ticket: Ticket, policy: Policy) -> None:
@@ -86,19 +86,19 @@
             return None
         queue = self._lowest_priority_queue()
         largest = queue.most_backlogged()
-        ask = ticket.ask
-        own_queue = self.queue(ask.priority)
+        request = ticket.request
+        own_queue = self.queue(request.priority)
         if queue is own_queue:
             own_weighted_count = (
-                own_queue.count(ask.workspace) + 1
-            ) / ask.weight
+                own_queue.count(request.workspace) + 1
+            ) / request.weight
             if (
-                largest == ask.workspace
+                largest == request.workspace
                 or queue.weighted_count(largest) <= own_weighted_count
             ):
                 raise self._queue_full_error(ticket)
         newest = queue.newest(largest) if largest else None
-        if newest is None or newest.ask.priority < ask.priority:
+        if newest is None or newest.request.priority < request.priority:
             raise self._queue_full_error(ticket)
         error = self._queue_full_error(newest)
         queue.remove(newest)
@@ -120,7 +120,7 @@
         for queue in self.by_priority():
             kept_tokens = 0.0
             for tickets in queue.by_workspace():
-                name = tickets[0].ask.workspace
+                name = tickets[0].request.workspace
                 tokens_ahead = 0.0
                 for ticket in tickets:
                     tokens_before_ticket = queue.tokens_before(
@@ -140,7 +140,7 @@
                 kept_tokens += tokens_ahead
             higher_priority_tokens += kept_tokens
         for refusal in refusals:
-            self.queue(refusal.ticket.ask.priority).remove(refusal.ticket)
+            self.queue(refusal.ticket.request.priority).remove(refusal.ticket)
         return refusals
 
     def _higher_priority_cost(self, priority: int) -> float:
@@ -172,6 +172,6 @@
 
 def _max_wait_ms(ticket: Ticket, policy: Policy, gap_ms: float) -> float:
     """Return how long a ticket can wait and still meet its deadline."""
-    ask = ticket.ask
-    answer_ms = (ticket.cost - ask.prompt_tokens) * gap_ms
-    return min(float(policy.queue_wait_ms), ask.deadline_ms - answer_ms)
+    request = ticket.request
+    answer_ms = (ticket.cost - request.prompt_tokens) * gap_ms
+    return min(float(policy.queue_wait_ms), request.deadline_ms - answer_ms)
--- a/src/balsamlift/placement/_queue.py
+++ b/src/balsamlift/placement/_queue.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable, Iterator
 
-from balsamlift.placement._ask import Ticket
+from balsamlift.placement._request import Ticket
 
 QUANTUM = 256.0  # tokens per round and unit of weight
 
@@ -47,18 +47,18 @@
         backlog is empty.
         """
         tickets = self._waiting.get(workspace)
-        own = tickets[0].ask.weight if tickets else 1.0
+        own = tickets[0].request.weight if tickets else 1.0
         total = ahead
         for name, other in self._waiting.items():
             if name != workspace:
-                served = (ahead + QUANTUM) * other[0].ask.weight / own
+                served = (ahead + QUANTUM) * other[0].request.weight / own
                 total += min(served, self.cost(name))
         return total
 
     def weighted_count(self, workspace: str) -> float:
         """Return the queued tickets of a workspace per unit of weight."""
         tickets = self._waiting.get(workspace)
-        return len(tickets) / tickets[0].ask.weight if tickets else 0.0
+        return len(tickets) / tickets[0].request.weight if tickets else 0.0
 
     def most_backlogged(self) -> str:
         """Return the workspace with the largest backlog for its weight."""
@@ -70,14 +70,14 @@
 
     def push(self, ticket: Ticket) -> None:
         """Append a ticket to the queue of its workspace."""
-        name = ticket.ask.workspace
+        name = ticket.request.workspace
         self._waiting.setdefault(name, deque()).append(ticket)
         self._deficits.setdefault(name, 0.0)
         self._costs[name] = self._costs.get(name, 0.0) + ticket.cost
 
     def remove(self, ticket: Ticket) -> bool:
         """Remove a ticket; return whether it was queued."""
-        name = ticket.ask.workspace
+        name = ticket.request.workspace
         tickets = self._waiting.get(name)
         if tickets is None or ticket not in tickets:
             return False
@@ -100,7 +100,7 @@
             ticket = self._next()
             if not place(ticket):
                 break
-            name = ticket.ask.workspace
+            name = ticket.request.workspace
             self._waiting[name].popleft()
             self._deficits[name] -= ticket.cost
             self._update_after_removal(ticket)
@@ -112,11 +112,11 @@
             name, tickets = next(iter(self._waiting.items()))
             if self._deficits[name] >= tickets[0].cost:
                 return tickets[0]
-            self._deficits[name] += QUANTUM * tickets[0].ask.weight
+            self._deficits[name] += QUANTUM * tickets[0].request.weight
             self._waiting.move_to_end(name)
 
     def _update_after_removal(self, ticket: Ticket) -> None:
-        name = ticket.ask.workspace
+        name = ticket.request.workspace
         self._costs[name] -= ticket.cost
         if not self._waiting[name]:
             del self._waiting[name]
--- a/src/balsamlift/placement/_ask.py
+++ b/src/balsamlift/placement/_request.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Ask:
+class PlacementRequest:
     """Describe the demand and the limits of a request to be placed."""
 
     key: str
@@ -28,7 +28,7 @@
 class Ticket:
     """Track a queued or placed request and its reserved upstream."""
 
-    ask: Ask
+    request: PlacementRequest
     arrived_ms: float
     cost: float  # expected tokens; charged to its workspace
     upstream: str = ""  # that holds its reservation; "" if none
--- a/src/balsamlift/placement/_scheduler.py
+++ b/src/balsamlift/placement/_scheduler.py
@@ -12,7 +12,6 @@
 import attrs
 
 from balsamlift.exceptions import RefusedError
-from balsamlift.placement._ask import Ask, Ticket
 from balsamlift.placement._ejection import eject_slow
 from balsamlift.placement._engine import Engine, LoadReport
 from balsamlift.placement._forecast import (
@@ -24,6 +23,7 @@
 from balsamlift.placement._policy import Policy
 from balsamlift.placement._pool import Pool, Refusal
 from balsamlift.placement._prefixes import PrefixLengths
+from balsamlift.placement._request import PlacementRequest, Ticket
 from balsamlift.placement._retry_budget import RetryBudget
 from balsamlift.placement._selection import (
     SelectionContext,
@@ -117,20 +117,20 @@
         self._refresh(engine, now_ms)
         return int(engine.profile.peak)
 
-    def enqueue(self, ask: Ask, now_ms: float) -> Ticket:
+    def enqueue(self, request: PlacementRequest, now_ms: float) -> Ticket:
         """Queue a request.
 
         Raises `RefusedError` if it would miss its deadline, or if the
         queue is full and its workspace already has its share of it.
         """
-        pool = self._pool(ask.pool)
-        self.prefixes.observe(ask.prefix, ask.prompt_tokens)
-        ticket = Ticket(ask, now_ms, self._expected_cost(ask))
+        pool = self._pool(request.pool)
+        self.prefixes.observe(request.prefix, request.prompt_tokens)
+        ticket = Ticket(request, now_ms, self._expected_cost(request))
         pool.check_deadline(ticket, self.policy)
         displaced = pool.make_room(ticket, self.policy)
         if displaced is not None:
             self._displaced.append(displaced)
-        pool.queue(ask.priority).push(ticket)
+        pool.queue(request.priority).push(ticket)
         self._retry_budget.earn(self.policy.retry_ratio)
         return ticket
 
@@ -152,8 +152,8 @@
 
     def withdraw(self, ticket: Ticket) -> None:
         """Remove a ticket from the queue."""
-        ask = ticket.ask
-        self._pool(ask.pool).queue(ask.priority).remove(ticket)
+        request = ticket.request
+        self._pool(request.pool).queue(request.priority).remove(ticket)
 
     def choose(
         self, ticket: Ticket, exclude: frozenset[str], now_ms: float
@@ -163,7 +163,7 @@
         Reserves another one if there is none or it is excluded. Raises
         `RefusedError` if no upstream fits.
         """
-        pool = self._pool(ticket.ask.pool)
+        pool = self._pool(ticket.request.pool)
         if ticket.upstream in pool.engines and ticket.upstream not in exclude:
             return ticket.upstream
         self.released(ticket)
@@ -179,7 +179,7 @@
         ticket.started = True
         engine = self._engine_of(ticket)
         if engine is not None:
-            engine.remember_prefix(ticket.ask.prefix)
+            engine.remember_prefix(ticket.request.prefix)
 
     def progress(
         self, ticket: Ticket, tokens: int, gap_ms: float, now_ms: float
@@ -211,15 +211,15 @@
         engine = self._engine_of(ticket)
         ticket.upstream = ""
         if engine is not None:
-            engine.tickets.pop(ticket.ask.key, None)
+            engine.tickets.pop(ticket.request.key, None)
             engine.profile_updated_ms = -1e9
 
     def finished(self, ticket: Ticket, tokens: int) -> None:
         """Record the length of a complete answer and release its ticket."""
         self.released(ticket)
-        ask = ticket.ask
+        request = ticket.request
         if tokens > 0:
-            self.lengths.observe(ask.workspace, ask.kind, tokens)
+            self.lengths.observe(request.workspace, request.kind, tokens)
 
     def may_retry(self) -> bool:
         """Take one retry from the budget; return whether one was left."""
@@ -248,22 +248,24 @@
         return pool
 
     def _engine_of(self, ticket: Ticket) -> Engine | None:
-        return self._pool(ticket.ask.pool).engines.get(ticket.upstream)
+        return self._pool(ticket.request.pool).engines.get(ticket.upstream)
 
-    def _length_points(self, ask: Ask) -> list[int]:
-        return self.lengths.points(ask.workspace, ask.kind, ask.max_tokens)
+    def _length_points(self, request: PlacementRequest) -> list[int]:
+        return self.lengths.points(
+            request.workspace, request.kind, request.max_tokens
+        )
 
-    def _expected_cost(self, ask: Ask) -> float:
-        remaining = expected_remaining(self._length_points(ask), 0)
-        return ask.prompt_tokens + min(remaining, ask.max_tokens)
+    def _expected_cost(self, request: PlacementRequest) -> float:
+        remaining = expected_remaining(self._length_points(request), 0)
+        return request.prompt_tokens + min(remaining, request.max_tokens)
 
     def _profile(self, ticket: Ticket) -> MemoryProfile:
-        ask = ticket.ask
-        own_tokens = ask.prompt_tokens - self.prefixes.shared_tokens(
-            ask.prefix
+        request = ticket.request
+        own_tokens = request.prompt_tokens - self.prefixes.shared_tokens(
+            request.prefix
         )
         return generation_profile(
-            max(own_tokens, 0), ticket.tokens, self._length_points(ask)
+            max(own_tokens, 0), ticket.tokens, self._length_points(request)
         )
 
     def _refresh(self, engine: Engine, now_ms: float) -> None:
@@ -291,12 +293,12 @@
         demand = self._profile(ticket)
         context = self._selection_context(pool, now_ms)
         selector = self._selectors[self.policy.name]
-        engine = selector(usable, ticket.ask, demand, context)
+        engine = selector(usable, ticket.request, demand, context)
         if engine is None:
             return False
         ticket.upstream = engine.name
         ticket.tokens = 0
-        engine.tickets[ticket.ask.key] = ticket
+        engine.tickets[ticket.request.key] = ticket
         engine.profile = engine.profile.plus(demand)
         return True
 
--- a/src/balsamlift/placement/_selection.py
+++ b/src/balsamlift/placement/_selection.py
@@ -9,10 +9,10 @@
 
 import attrs
 
-from balsamlift.placement._ask import Ask
 from balsamlift.placement._engine import Engine
 from balsamlift.placement._forecast import MemoryProfile
 from balsamlift.placement._policy import Policy
+from balsamlift.placement._request import PlacementRequest
 from balsamlift.placement._short_turns import ShortTurn
 
 MAX_PAIRS = 4  # compared before a request stays queued
@@ -31,37 +31,40 @@
 
 
 Selector = Callable[
-    [Sequence[Engine], Ask, MemoryProfile, SelectionContext], Engine | None
+    [Sequence[Engine], PlacementRequest, MemoryProfile, SelectionContext],
+    Engine | None,
 ]
 
 
 def pick_best(
     engines: Sequence[Engine],
-    ask: Ask,
+    request: PlacementRequest,
     demand: MemoryProfile,
     context: SelectionContext,
 ) -> Engine | None:
     """Pick the better-scored engine of a random pair that fits `demand`."""
     median_gap = median(e.expected_gap_ms() for e in engines)
-    for group in _groups(engines, ask, context.turn):
-        for pair in _pairs(group, ask, context):
+    for group in _groups(engines, request, context.turn):
+        for pair in _pairs(group, request, context):
             for engine in pair:
                 context.refresh(engine)
-            pair.sort(key=lambda e: _score(e, ask, context.policy, median_gap))
+            pair.sort(
+                key=lambda e: _score(e, request, context.policy, median_gap)
+            )
             for engine in pair:
-                if _fits(engine, ask, demand, context):
+                if _fits(engine, request, demand, context):
                     return engine
     return None
 
 
 def pick_least_loaded(
     engines: Sequence[Engine],
-    ask: Ask,
+    request: PlacementRequest,
     demand: MemoryProfile,
     context: SelectionContext,
 ) -> Engine | None:
     """Pick the engine with the least reported load."""
-    del ask, demand, context
+    del request, demand, context
     return min(engines, key=_reported_load)
 
 
@@ -71,12 +74,12 @@
 
     def pick_next(
         engines: Sequence[Engine],
-        ask: Ask,
+        request: PlacementRequest,
         demand: MemoryProfile,
         context: SelectionContext,
     ) -> Engine | None:
         nonlocal position
-        del ask, demand, context
+        del request, demand, context
         position += 1
         return engines[position % len(engines)]
 
@@ -84,14 +87,14 @@
 
 
 def _groups(
-    engines: Sequence[Engine], ask: Ask, turn: ShortTurn
+    engines: Sequence[Engine], request: PlacementRequest, turn: ShortTurn
 ) -> list[list[Engine]]:
     """Return the engines in groups, in order of preference.
 
     Priority 0 prefers the engines reserved for short requests; other
     priorities avoid the engines closed to long requests.
     """
-    if ask.priority > 0:
+    if request.priority > 0:
         allowed = [e for e in engines if e.name not in turn.closed_to_long]
         return [allowed or list(engines)]
     reserved = [e for e in engines if e.name in turn.reserved]
@@ -107,7 +110,9 @@
 
 
 def _pairs(
-    engines: Sequence[Engine], ask: Ask, context: SelectionContext
+    engines: Sequence[Engine],
+    request: PlacementRequest,
+    context: SelectionContext,
 ) -> list[list[Engine]]:
     """Return the pairs of engines to compare, in order.
 
@@ -116,9 +121,9 @@
     """
     candidates = list(engines)
     context.random.shuffle(candidates)
-    if candidates and ask.prefix and context.policy.prefix_weight:
+    if candidates and request.prefix and context.policy.prefix_weight:
         preferred = max(
-            candidates, key=lambda e: _rendezvous_hash(ask.prefix, e.name)
+            candidates, key=lambda e: _rendezvous_hash(request.prefix, e.name)
         )
         candidates.remove(preferred)
         candidates.insert(0, preferred)
@@ -132,12 +137,17 @@
 
 
 def _score(
-    engine: Engine, ask: Ask, policy: Policy, median_gap: float
+    engine: Engine,
+    request: PlacementRequest,
+    policy: Policy,
+    median_gap: float,
 ) -> float:
     """Return the score of an engine for a request; lower is better."""
     memory = engine.expected_peak_tokens() / engine.memory_tokens
     gap = engine.expected_gap_ms() / median_gap - 1.0
-    prefix = 1.0 if ask.prefix and ask.prefix in engine.prefixes else 0.0
+    prefix = (
+        1.0 if request.prefix and request.prefix in engine.prefixes else 0.0
+    )
     return (
         policy.memory_weight * memory
         + policy.gap_weight * gap
@@ -146,9 +156,12 @@
 
 
 def _fits(
-    engine: Engine, ask: Ask, demand: MemoryProfile, context: SelectionContext
+    engine: Engine,
+    request: PlacementRequest,
+    demand: MemoryProfile,
+    context: SelectionContext,
 ) -> bool:
-    """Return whether this host may place `ask` on the engine now."""
+    """Return whether this host may place `request` on the engine now."""
     policy = context.policy
     share = engine.ramp_up_share(policy, context.now_ms)
     if len(engine.tickets) + 1 > max(engine.limit * share, 1.0):
@@ -156,10 +169,10 @@
     if not engine.tracks_memory:
         return True
     usable = engine.memory_tokens * policy.memory_share
-    if ask.priority > 0:
+    if request.priority > 0:
         usable *= 1.0 - policy.reserve_share
     quantile_peak = engine.profile.peak_at_quantile(
-        demand, engine.peer_load(), ask.quantile
+        demand, engine.peer_load(), request.quantile
     )
     if quantile_peak + engine.unaccounted_tokens > usable:
         return False
@@ -170,7 +183,7 @@
         max(usable - median_peak - engine.unaccounted_tokens + demand.now, 0.0)
         * share
     )
-    if ask.priority == 0:
+    if request.priority == 0:
         return demand.peak <= headroom
     return _take_credit(engine, demand.peak, headroom, context)
 
--- a/src/balsamlift/placement/_service.py
+++ b/src/balsamlift/placement/_service.py
@@ -10,7 +10,6 @@
 from balsamlift.clock import Clock
 from balsamlift.exceptions import RefusedError
 from balsamlift.kernel import Kernel
-from balsamlift.placement._ask import Ask, Ticket
 from balsamlift.placement._engine import Engine
 from balsamlift.placement._load_poller import LoadPoller
 from balsamlift.placement._policy import Policy
@@ -23,6 +22,7 @@
     Upstream,
     UpstreamsService,
 )
+from balsamlift.placement._request import PlacementRequest, Ticket
 from balsamlift.placement._scheduler import Scheduler
 
 log = logger.bind(part="placement")
@@ -74,17 +74,17 @@
         for ticket in list(self._waiters):
             self._resolve(ticket, error)
 
-    async def admit(self, ask: Ask) -> Ticket:
+    async def admit(self, request: PlacementRequest) -> Ticket:
         """Queue a request until it is placed; return its ticket.
 
         Raises `RefusedError` as soon as it is known that the request will
         miss its deadline, or that the queue is full.
         """
-        self._pools.add(ask.pool)
+        self._pools.add(request.pool)
         now_ms = self._now_ms()
-        self._refresh_pool(ask.pool)
+        self._refresh_pool(request.pool)
         try:
-            ticket = self._scheduler.enqueue(ask, now_ms)
+            ticket = self._scheduler.enqueue(request, now_ms)
         except RefusedError:
             self._metrics.count("placement.refused")
             raise
@@ -109,7 +109,9 @@
         Raises `RefusedError` if there is none.
         """
         name = self._scheduler.choose(ticket, exclude, self._now_ms())
-        self._timeline.record("placed", request=ticket.ask.key, upstream=name)
+        self._timeline.record(
+            "placed", request=ticket.request.key, upstream=name
+        )
         return self._upstreams[name]
 
     def started(self, ticket: Ticket, upstream: Upstream) -> None:
--- a/src/balsamlift/requests/_engine.py
+++ b/src/balsamlift/requests/_engine.py
@@ -95,7 +95,7 @@
 
 
 def _is_deterministic(work: Work) -> bool:
-    pool = work.parts.settings.pools.get(work.ticket.ask.pool)
+    pool = work.parts.settings.pools.get(work.ticket.request.pool)
     return (
         pool is not None and pool.deterministic and work.body.seed is not None
     )
@@ -138,7 +138,7 @@
         "workspace": body.workspace,
         "kind": body.kind,
         "prompt": body.prompt,
-        "prompt_tokens": work.ticket.ask.prompt_tokens,
+        "prompt_tokens": work.ticket.request.prompt_tokens,
         "prefix": body.prefix,
         "max_tokens": work.max_tokens,
         # Presets serve 0 first, engines the highest.
--- a/src/balsamlift/requests/_terms.py
+++ b/src/balsamlift/requests/_terms.py
@@ -8,7 +8,7 @@
 import attrs
 
 from balsamlift.exceptions import RefusedError
-from balsamlift.placement import Ask
+from balsamlift.placement import PlacementRequest
 from balsamlift.presets import InForce, KindPreset, Preset, WorkspacePreset
 from balsamlift.requests._errors import (
     KindUnknownError,
@@ -79,11 +79,11 @@
         raise TokenWrongError("the token is not this workspace's")
 
 
-def to_ask(body: RequestBody, terms: Terms) -> Ask:
+def to_ask(body: RequestBody, terms: Terms) -> PlacementRequest:
     """Return what the request asks of placement."""
     kind = terms.kind
     guess = max(1, len(body.prompt) // CHARACTERS_PER_TOKEN)
-    ask = Ask(
+    ask = PlacementRequest(
         key=body.key,
         workspace=body.workspace,
         kind=body.kind,
--- a/src/balsamlift/testing/_experiment_workload.py
+++ b/src/balsamlift/testing/_experiment_workload.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from balsamlift.placement import Ask, Policy
+from balsamlift.placement import PlacementRequest, Policy
 
 PREFIX_TOKENS = 512
 POOL = "drafting"
@@ -52,7 +52,7 @@
     """Hold one request and the length that nobody knows."""
 
     at_ms: float
-    ask: Ask
+    ask: PlacementRequest
     output_tokens: int
     short: bool
 
@@ -96,7 +96,7 @@
     scale = 0.7 + 0.6 * workspace / len(deployment.weights)
     output = _log_normal(random, kind.output_median * scale, kind.output_sigma)
     own_prompt = _log_normal(random, kind.prompt_median, kind.prompt_sigma)
-    ask = Ask(
+    ask = PlacementRequest(
         key=f"request-{index}",
         workspace=name,
         weight=deployment.weights[workspace],
--- a/tests/test_placement_scheduler.py
+++ b/tests/test_placement_scheduler.py
@@ -7,20 +7,25 @@
 from hypothesis import strategies as st
 
 from balsamlift.exceptions import RefusedError
-from balsamlift.placement import Ask, LoadReport, Policy, Scheduler
-from balsamlift.placement._ask import Ticket
+from balsamlift.placement import (
+    LoadReport,
+    PlacementRequest,
+    Policy,
+    Scheduler,
+)
 from balsamlift.placement._engine import Engine
 from balsamlift.placement._forecast import generation_profile
 from balsamlift.placement._lengths import LengthEstimates, survival
 from balsamlift.placement._queue import FairQueue
+from balsamlift.placement._request import Ticket
 from balsamlift.placement._short_turns import rotation_order, short_turn_at
 
 POOL = "drafting"
 
 
-def make_ask(key, **fields):
+def make_request(key, **fields):
     values = {"workspace": "w", "kind": "report", "pool": POOL}
-    return Ask(key=key, **(values | fields))
+    return PlacementRequest(key=key, **(values | fields))
 
 
 def make_scheduler(policy=None, engines=3, memory=65_536):
@@ -38,7 +43,7 @@
 def fill(scheduler, count, now_ms=0.0, **fields):
     """Queue `count` requests; return the tickets placed."""
     for index in range(count):
-        scheduler.enqueue(make_ask(f"k{index}", **fields), now_ms)
+        scheduler.enqueue(make_request(f"k{index}", **fields), now_ms)
     return scheduler.decide(now_ms).placed
 
 
@@ -106,8 +111,10 @@
     queue = FairQueue()
     for index in range(400):
         for name, weight in (("large", 3.0), ("small", 1.0)):
-            ask = make_ask(f"{name}{index}", workspace=name, weight=weight)
-            queue.push(Ticket(ask, 0.0, cost=300.0))
+            request = make_request(
+                f"{name}{index}", workspace=name, weight=weight
+            )
+            queue.push(Ticket(request, 0.0, cost=300.0))
     left = [200]
 
     def place(ticket):
@@ -115,19 +122,19 @@
         return left[0] >= 0
 
     placed = queue.drain(place)
-    large = sum(t.ask.workspace == "large" for t in placed)
+    large = sum(t.request.workspace == "large" for t in placed)
     assert large / len(placed) == pytest.approx(0.75, abs=0.02)
 
 
 def test_full_queue_displaces_the_workspace_with_the_largest_backlog():
     scheduler = make_scheduler(Policy(queue_requests=5), engines=0)
     for index in range(5):
-        scheduler.enqueue(make_ask(f"k{index}", workspace="crowd"), 0.0)
+        scheduler.enqueue(make_request(f"k{index}", workspace="crowd"), 0.0)
     with pytest.raises(RefusedError):
-        scheduler.enqueue(make_ask("k6", workspace="crowd"), 0.0)
-    scheduler.enqueue(make_ask("k7", workspace="quiet"), 0.0)
+        scheduler.enqueue(make_request("k6", workspace="crowd"), 0.0)
+    scheduler.enqueue(make_request("k7", workspace="quiet"), 0.0)
     refused = scheduler.decide(0.0).refused
-    assert [r.ticket.ask.key for r in refused] == ["k4"]
+    assert [r.ticket.request.key for r in refused] == ["k4"]
     assert refused[0].error.reason == "queue_full"
 
 
@@ -138,7 +145,9 @@
     for index in range(400):
         now_ms += 50.0
         try:
-            scheduler.enqueue(make_ask(f"k{index}", max_tokens=900), now_ms)
+            scheduler.enqueue(
+                make_request(f"k{index}", max_tokens=900), now_ms
+            )
         except RefusedError as caught:
             error = error or caught
         for ticket in scheduler.decide(now_ms).placed:
@@ -151,7 +160,7 @@
 def test_request_that_would_miss_its_deadline_is_refused_on_arrival():
     scheduler = make_scheduler()
     with pytest.raises(RefusedError) as caught:
-        scheduler.enqueue(make_ask("k", deadline_ms=10.0), 0.0)
+        scheduler.enqueue(make_request("k", deadline_ms=10.0), 0.0)
     assert caught.value.reason == "deadline"
 
 
@@ -203,7 +212,7 @@
     assert {t.upstream for t in placed} == {
         e.name for e in scheduler.engines(POOL) if e.name != reserved
     }
-    ticket = scheduler.enqueue(make_ask("s", priority=0), 3_000.0)
+    ticket = scheduler.enqueue(make_request("s", priority=0), 3_000.0)
     scheduler.decide(3_000.0)
     assert ticket.upstream == reserved
 
@@ -211,9 +220,9 @@
 def test_wait_includes_tokens_served_to_other_workspaces():
     queue = FairQueue()
     for index in range(10):
-        ask = make_ask(f"l{index}", workspace="large", weight=4.0)
-        queue.push(Ticket(ask, 0.0, cost=1_000.0))
-    small = Ticket(make_ask("s", workspace="small"), 0.0, cost=500.0)
+        request = make_request(f"l{index}", workspace="large", weight=4.0)
+        queue.push(Ticket(request, 0.0, cost=1_000.0))
+    small = Ticket(make_request("s", workspace="small"), 0.0, cost=500.0)
     queue.push(small)
     assert queue.tokens_before("small", 500.0) == 500.0 + 4 * (500 + 256)
     assert queue.tokens_before("small", 50_000.0) == 50_000.0 + 10_000.0
--- a/tests/test_placement_service.py
+++ b/tests/test_placement_service.py
@@ -9,7 +9,7 @@
 from balsamlift.clock import SystemClock
 from balsamlift.exceptions import RefusedError
 from balsamlift.kernel import Kernel
-from balsamlift.placement import Ask, Placement, Policy
+from balsamlift.placement import Placement, PlacementRequest, Policy
 
 
 @attrs.frozen
@@ -63,9 +63,9 @@
         pass
 
 
-def make_ask(key, **fields):
+def make_request(key, **fields):
     values = {"workspace": "w", "kind": "lookup", "pool": "counter"}
-    return Ask(key=key, **(values | fields))
+    return PlacementRequest(key=key, **(values | fields))
 
 
 def run(scenario, policy=None, upstreams=()):
@@ -90,7 +90,7 @@
 
 def test_chooses_another_upstream_after_a_refusal():
     async def scenario(placement, services):
-        ticket = await placement.admit(make_ask("k"))
+        ticket = await placement.admit(make_request("k"))
         first = placement.choose(ticket, frozenset())
         assert placement.choose(ticket, frozenset()) is first
         placement.refused(ticket, first, "full", 500)
@@ -105,7 +105,7 @@
 
 def test_choose_refuses_when_every_upstream_is_excluded():
     async def scenario(placement, services):
-        ticket = await placement.admit(make_ask("k"))
+        ticket = await placement.admit(make_request("k"))
         with pytest.raises(RefusedError) as caught:
             placement.choose(ticket, frozenset({"u1"}))
         assert caught.value.reason == "no_upstream"
@@ -116,7 +116,7 @@
 def test_refuses_queued_requests_past_their_deadline():
     async def scenario(placement, services):
         with pytest.raises(RefusedError) as caught:
-            await placement.admit(make_ask("k"))
+            await placement.admit(make_request("k"))
         assert caught.value.reason == "deadline"
         assert caught.value.retry_after_ms > 0
 
@@ -125,14 +125,14 @@
 
 def test_cancelled_admission_releases_its_place():
     async def scenario(placement, services):
-        waiting = asyncio.create_task(placement.admit(make_ask("k1")))
+        waiting = asyncio.create_task(placement.admit(make_request("k1")))
         await asyncio.sleep(0)
         waiting.cancel()
         with pytest.raises(asyncio.CancelledError):
             await waiting
         services["upstreams"].upstreams.append(FakeUpstream("u1"))
         services["upstreams"].changed()
-        ticket = await placement.admit(make_ask("k2"))
+        ticket = await placement.admit(make_request("k2"))
         assert placement.choose(ticket, frozenset()).name == "u1"
         while services["peers"].announced.get("u1") != 1:
             await asyncio.sleep(0.01)
