--- a/bench/placement_cost.py
+++ b/bench/placement_cost.py
@@ -154,7 +154,7 @@
         running=0, queued=0, memory_used=0, memory_total=MEMORY_TOKENS
     )
     for engine in scheduler.engines(POOL):
-        scheduler.report(POOL, engine.name, report, 0.0)
+        scheduler.apply_report(POOL, engine.name, report, 0.0)
     return scheduler
 
 
@@ -194,8 +194,8 @@
     ticket = scheduler.enqueue(ask, now_ms)
     scheduler.decide(now_ms)
     scheduler.choose(ticket, frozenset(), now_ms)
-    scheduler.started(ticket)
-    scheduler.finished(ticket, 100)
+    scheduler.mark_started(ticket)
+    scheduler.finish(ticket, 100)
 
 
 def _traced(make: Callable[[], T]) -> tuple[T, int]:
--- a/src/balsamlift/placement/_load_poller.py
+++ b/src/balsamlift/placement/_load_poller.py
@@ -97,7 +97,7 @@
             return
         report = answer.decode(LoadReport)
         now_ms = self._clock.monotonic() * 1_000
-        self._scheduler.report(engine.pool, engine.name, report, now_ms)
+        self._scheduler.apply_report(engine.pool, engine.name, report, now_ms)
 
     async def _poll_cache(self, engine: Upstream) -> None:
         start = self._cache_next.get(engine.name, 0)
@@ -108,7 +108,7 @@
         cache = answer.decode(CacheAnswer)
         self._cache_next[engine.name] = cache.next
         for event in cache.events:
-            self._scheduler.cache_event(
+            self._scheduler.apply_cache_event(
                 engine.pool,
                 engine.name,
                 event.prefix,
--- a/src/balsamlift/placement/_scheduler.py
+++ b/src/balsamlift/placement/_scheduler.py
@@ -82,7 +82,7 @@
         """Return the engines of a pool."""
         return list(self._pool(pool).engines.values())
 
-    def report(
+    def apply_report(
         self, pool: str, name: str, report: LoadReport, now_ms: float
     ) -> None:
         """Apply a load report of an engine."""
@@ -91,7 +91,7 @@
             self._refresh(engine, now_ms)
             engine.apply_report(report)
 
-    def cache_event(
+    def apply_cache_event(
         self, pool: str, name: str, prefix: str, *, stored: bool
     ) -> None:
         """Apply a cache event: an engine stored or evicted a prefix."""
@@ -166,7 +166,7 @@
         pool = self._pool(ticket.request.pool)
         if ticket.upstream in pool.engines and ticket.upstream not in exclude:
             return ticket.upstream
-        self.released(ticket)
+        self.release(ticket)
         if not self._place(pool, exclude, now_ms, ticket):
             wait_ms = pool.rate.wait_ms(ticket.cost)
             raise RefusedError(
@@ -174,14 +174,14 @@
             )
         return ticket.upstream
 
-    def started(self, ticket: Ticket) -> None:
+    def mark_started(self, ticket: Ticket) -> None:
         """Record that the generation runs on its upstream."""
         ticket.started = True
         engine = self._engine_of(ticket)
         if engine is not None:
             engine.remember_prefix(ticket.request.prefix)
 
-    def progress(
+    def record_progress(
         self, ticket: Ticket, tokens: int, gap_ms: float, now_ms: float
     ) -> None:
         """Record tokens that arrived, and the gap before them."""
@@ -190,7 +190,7 @@
         if engine is not None and gap_ms > 0:
             engine.observe_gap(gap_ms, now_ms)
 
-    def refused(
+    def handle_refusal(
         self, ticket: Ticket, reason: str, retry_ms: float, now_ms: float
     ) -> None:
         """Release a ticket that its upstream refused without running it.
@@ -199,14 +199,14 @@
         draining.
         """
         engine = self._engine_of(ticket)
-        self.released(ticket)
+        self.release(ticket)
         if engine is not None:
             closed_ms = (
                 DRAINING_CLOSED_MS if reason == "draining" else retry_ms
             )
             engine.close(now_ms + closed_ms)
 
-    def released(self, ticket: Ticket) -> None:
+    def release(self, ticket: Ticket) -> None:
         """Release the reservation of a ticket."""
         engine = self._engine_of(ticket)
         ticket.upstream = ""
@@ -214,9 +214,9 @@
             engine.tickets.pop(ticket.request.key, None)
             engine.profile_updated_ms = -1e9
 
-    def finished(self, ticket: Ticket, tokens: int) -> None:
+    def finish(self, ticket: Ticket, tokens: int) -> None:
         """Record the length of a complete answer and release its ticket."""
-        self.released(ticket)
+        self.release(ticket)
         request = ticket.request
         if tokens > 0:
             self.lengths.observe(request.workspace, request.kind, tokens)
--- a/src/balsamlift/placement/_service.py
+++ b/src/balsamlift/placement/_service.py
@@ -95,7 +95,7 @@
             await waiter
         except asyncio.CancelledError:
             self._scheduler.withdraw(ticket)
-            self._scheduler.released(ticket)
+            self._scheduler.release(ticket)
             raise
         finally:
             self._waiters.pop(ticket, None)
@@ -114,21 +114,21 @@
         )
         return self._upstreams[name]
 
-    def started(self, ticket: Ticket, upstream: Upstream) -> None:
+    def mark_started(self, ticket: Ticket, upstream: Upstream) -> None:
         """Record that the generation runs on an upstream."""
         if ticket.upstream == upstream.name:
-            self._scheduler.started(ticket)
+            self._scheduler.mark_started(ticket)
 
-    def progress(
+    def record_progress(
         self, ticket: Ticket, upstream: Upstream, tokens: int, gap_ms: float
     ) -> None:
         """Record tokens that arrived, and the gap before them."""
         if ticket.upstream == upstream.name:
             now_ms = self._now_ms()
-            self._scheduler.progress(ticket, tokens, gap_ms, now_ms)
+            self._scheduler.record_progress(ticket, tokens, gap_ms, now_ms)
             self._metrics.observe_ms("placement.gap_ms", gap_ms)
 
-    def refused(
+    def handle_refusal(
         self,
         ticket: Ticket,
         upstream: Upstream,
@@ -139,17 +139,19 @@
         self._metrics.count("placement.upstream_refused")
         if ticket.upstream == upstream.name:
             now_ms = self._now_ms()
-            self._scheduler.refused(ticket, reason, retry_after_ms, now_ms)
+            self._scheduler.handle_refusal(
+                ticket, reason, retry_after_ms, now_ms
+            )
 
-    def released(self, ticket: Ticket, upstream: Upstream) -> None:
+    def release(self, ticket: Ticket, upstream: Upstream) -> None:
         """Release the reservation of a ticket without a complete answer."""
         if ticket.upstream == upstream.name:
-            self._scheduler.released(ticket)
+            self._scheduler.release(ticket)
         self._decide()
 
-    def finished(self, ticket: Ticket, tokens: int) -> None:
+    def finish(self, ticket: Ticket, tokens: int) -> None:
         """Record the length of a complete answer and release its ticket."""
-        self._scheduler.finished(ticket, tokens)
+        self._scheduler.finish(ticket, tokens)
         self._decide()
 
     def may_retry(self) -> bool:
@@ -236,7 +238,7 @@
         waiter = self._waiters.pop(ticket, None)
         if waiter is None or waiter.done():
             if error is None:
-                self._scheduler.released(ticket)
+                self._scheduler.release(ticket)
         elif error is None:
             waiter.set_result(None)
         else:
--- a/src/balsamlift/requests/_engine.py
+++ b/src/balsamlift/requests/_engine.py
@@ -60,7 +60,7 @@
             if outcome is not None:
                 return outcome
         finally:
-            work.parts.placement.released(work.ticket, upstream)
+            work.parts.placement.release(work.ticket, upstream)
 
 
 def _without_place(work: Work, refusal: Outcome) -> Outcome:
@@ -278,7 +278,9 @@
         self.generation = start.generation
         self._pending = attrs.evolve(start, upstream=self._upstream.name)
         self._last_s = self._work.parts.clock.monotonic()
-        self._work.parts.placement.started(self._work.ticket, self._upstream)
+        self._work.parts.placement.mark_started(
+            self._work.ticket, self._upstream
+        )
         if self._held == 0:
             self._begin()
 
@@ -304,7 +306,7 @@
         now_s = self._work.parts.clock.monotonic()
         gap_ms = (now_s - self._last_s) * 1_000
         self._last_s = now_s
-        self._work.parts.placement.progress(
+        self._work.parts.placement.record_progress(
             self._work.ticket, self._upstream, added, gap_ms
         )
 
--- a/src/balsamlift/requests/_runner.py
+++ b/src/balsamlift/requests/_runner.py
@@ -100,7 +100,7 @@
         run = run_on_services if terms.on_services else run_on_engines
         outcome = await run(work)
         if outcome.outcome == WHOLE:
-            parts.placement.finished(ticket, outcome.tokens)
+            parts.placement.finish(ticket, outcome.tokens)
         return outcome
 
     def _accept(self, work: Work, terms: Terms) -> None:
--- a/src/balsamlift/requests/_service_call.py
+++ b/src/balsamlift/requests/_service_call.py
@@ -57,11 +57,11 @@
             if not work.idempotent:
                 return work.execution.fail(error.reason, UNKNOWN)
         finally:
-            work.parts.placement.released(work.ticket, upstream)
+            work.parts.placement.release(work.ticket, upstream)
 
 
 async def _run_on(work: Work, upstream: Upstream) -> Outcome:
-    work.parts.placement.started(work.ticket, upstream)
+    work.parts.placement.mark_started(work.ticket, upstream)
     body = work.body
     call = {
         "key": body.key,
--- a/src/balsamlift/requests/_work.py
+++ b/src/balsamlift/requests/_work.py
@@ -133,7 +133,7 @@
     work.excluded.add(upstream.name)
     work.refusal = error
     work.execution.dispatched = work.lost
-    parts.placement.refused(
+    parts.placement.handle_refusal(
         work.ticket, upstream, error.reason, error.retry_after_ms
     )
     if error.reason == "draining":
--- a/src/balsamlift/testing/_experiment_world.py
+++ b/src/balsamlift/testing/_experiment_world.py
@@ -220,7 +220,7 @@
         for host in self.hosts:
             for event in events:
                 if self.random.random() >= CACHE_LOSS:
-                    host.scheduler.cache_event(
+                    host.scheduler.apply_cache_event(
                         POOL,
                         engine.name,
                         event.prefix,
@@ -244,7 +244,7 @@
             memory_used=load.memory_used,
             memory_total=load.memory_total,
         )
-        host.scheduler.report(POOL, engine.name, report, self.now_ms)
+        host.scheduler.apply_report(POOL, engine.name, report, self.now_ms)
 
     # The way of a request.
 
@@ -285,7 +285,7 @@
             if self._submit(engine, request):
                 return
             reason = "draining" if engine.leaving else "full"
-            host.scheduler.refused(
+            host.scheduler.handle_refusal(
                 ticket, reason, ENGINE_RETRY_MS, self.now_ms
             )
             exclude |= {name}
@@ -351,8 +351,8 @@
         if ticket is None or host.dead:
             return
         if request.tokens == 1:
-            host.scheduler.started(ticket)
-        host.scheduler.progress(ticket, 1, gap_ms, self.now_ms)
+            host.scheduler.mark_started(ticket)
+        host.scheduler.record_progress(ticket, 1, gap_ms, self.now_ms)
 
     def _end(self, request: Request, outcome: str, reason: str) -> None:
         request.outcome = outcome
@@ -366,6 +366,6 @@
         if host.dead:
             return
         if outcome == "whole":
-            host.scheduler.finished(ticket, request.tokens)
+            host.scheduler.finish(ticket, request.tokens)
         else:
-            host.scheduler.released(ticket)
+            host.scheduler.release(ticket)
--- a/tests/test_placement_scheduler.py
+++ b/tests/test_placement_scheduler.py
@@ -36,7 +36,7 @@
         load = LoadReport(
             running=0, queued=0, memory_used=0, memory_total=memory
         )
-        scheduler.report(POOL, name, load, 0.0)
+        scheduler.apply_report(POOL, name, load, 0.0)
     return scheduler
 
 
@@ -151,7 +151,7 @@
         except RefusedError as caught:
             error = error or caught
         for ticket in scheduler.decide(now_ms).placed:
-            scheduler.finished(ticket, 900)
+            scheduler.finish(ticket, 900)
     assert error is not None
     assert error.reason in ("deadline", "queue_full")
     assert error.retry_after_ms >= 50
--- a/tests/test_placement_service.py
+++ b/tests/test_placement_service.py
@@ -93,12 +93,12 @@
         ticket = await placement.admit(make_request("k"))
         first = placement.choose(ticket, frozenset())
         assert placement.choose(ticket, frozenset()) is first
-        placement.refused(ticket, first, "full", 500)
+        placement.handle_refusal(ticket, first, "full", 500)
         second = placement.choose(ticket, frozenset({first.name}))
         assert second is not first
-        placement.started(ticket, second)
-        placement.progress(ticket, second, 3, 20.0)
-        placement.finished(ticket, 3)
+        placement.mark_started(ticket, second)
+        placement.record_progress(ticket, second, 3, 20.0)
+        placement.finish(ticket, 3)
 
     run(scenario, upstreams=[FakeUpstream("u1"), FakeUpstream("u2")])
 
@@ -136,7 +136,7 @@
         assert placement.choose(ticket, frozenset()).name == "u1"
         while services["peers"].announced.get("u1") != 1:
             await asyncio.sleep(0.01)
-        placement.finished(ticket, 1)
+        placement.finish(ticket, 1)
         while services["peers"].announced.get("u1") != 0:
             await asyncio.sleep(0.01)
 
