--- a/bench/placement_cost.py
+++ b/bench/placement_cost.py
@@ -38,8 +38,8 @@
 
 from balsamlift.peers._hosts_list import ListEntry
 from balsamlift.placement import Policy
-from balsamlift.placement._ask import Ask
 from balsamlift.placement._engine import Engine, LoadReport
+from balsamlift.placement._request import PlacementRequest
 from balsamlift.placement._scheduler import Scheduler
 
 T = TypeVar("T")
@@ -154,7 +154,7 @@
         running=0, queued=0, memory_used=0, memory_total=MEMORY_TOKENS
     )
     for engine in scheduler.engines(POOL):
-        scheduler.report(POOL, engine.name, report, 0.0)
+        scheduler.apply_report(POOL, engine.name, report, 0.0)
     return scheduler
 
 
@@ -178,7 +178,7 @@
 def _admit(scheduler: Scheduler, number: int, workspace: str) -> None:
     """Take one request from its arrival to its whole answer."""
     now_ms = 1_000.0 * number
-    ask = Ask(
+    ask = PlacementRequest(
         key=f"key-{number}",
         workspace=workspace,
         kind="report",
@@ -194,8 +194,8 @@
     ticket = scheduler.enqueue(ask, now_ms)
     scheduler.decide(now_ms)
     scheduler.choose(ticket, frozenset(), now_ms)
-    scheduler.started(ticket)
-    scheduler.finished(ticket, 100)
+    scheduler.mark_started(ticket)
+    scheduler.finish(ticket, 100)
 
 
 def _traced(make: Callable[[], T]) -> tuple[T, int]:
--- a/tests/test_placement_service.py
+++ b/tests/test_placement_service.py
@@ -1,4 +1,4 @@
-"""The service `placement`, between fakes of the other services."""
+"""The service `placement` with fakes of the other services."""
 
 import asyncio
 from types import SimpleNamespace
@@ -9,7 +9,7 @@
 from balsamlift.clock import SystemClock
 from balsamlift.exceptions import RefusedError
 from balsamlift.kernel import Kernel
-from balsamlift.placement import Ask, Placement, Policy
+from balsamlift.placement import Placement, PlacementRequest, Policy
 
 
 @attrs.frozen
@@ -25,7 +25,7 @@
     def __init__(self, name, policy, upstreams):
         self.name = name
         self.upstreams = upstreams
-        self.told = {}
+        self.announced = {}
         self.counts = {}
         self._policy = policy
 
@@ -45,7 +45,7 @@
         return 0
 
     def set_in_flight(self, upstream, n):
-        self.told[upstream] = n
+        self.announced[upstream] = n
 
     def live(self):
         return []
@@ -63,9 +63,9 @@
         pass
 
 
-def make_ask(key, **fields):
+def make_request(key, **fields):
     values = {"workspace": "w", "kind": "lookup", "pool": "counter"}
-    return Ask(key=key, **(values | fields))
+    return PlacementRequest(key=key, **(values | fields))
 
 
 def run(scenario, policy=None, upstreams=()):
@@ -88,24 +88,24 @@
     asyncio.run(main())
 
 
-def test_admits_chooses_and_moves_on_after_a_refusal():
+def test_chooses_another_upstream_after_a_refusal():
     async def scenario(placement, services):
-        ticket = await placement.admit(make_ask("k"))
+        ticket = await placement.admit(make_request("k"))
         first = placement.choose(ticket, frozenset())
         assert placement.choose(ticket, frozenset()) is first
-        placement.refused(ticket, first, "full", 500)
+        placement.handle_refusal(ticket, first, "full", 500)
         second = placement.choose(ticket, frozenset({first.name}))
         assert second is not first
-        placement.started(ticket, second)
-        placement.progress(ticket, second, 3, 20.0)
-        placement.finished(ticket, 3)
+        placement.mark_started(ticket, second)
+        placement.record_progress(ticket, second, 3, 20.0)
+        placement.finish(ticket, 3)
 
     run(scenario, upstreams=[FakeUpstream("u1"), FakeUpstream("u2")])
 
 
 def test_choose_refuses_when_every_upstream_is_excluded():
     async def scenario(placement, services):
-        ticket = await placement.admit(make_ask("k"))
+        ticket = await placement.admit(make_request("k"))
         with pytest.raises(RefusedError) as caught:
             placement.choose(ticket, frozenset({"u1"}))
         assert caught.value.reason == "no_upstream"
@@ -113,37 +113,37 @@
     run(scenario, upstreams=[FakeUpstream("u1")])
 
 
-def test_refuses_waiting_requests_once_they_are_late():
+def test_refuses_queued_requests_past_their_deadline():
     async def scenario(placement, services):
         with pytest.raises(RefusedError) as caught:
-            await placement.admit(make_ask("k"))
+            await placement.admit(make_request("k"))
         assert caught.value.reason == "deadline"
         assert caught.value.retry_after_ms > 0
 
     run(scenario, policy=Policy(queue_wait_ms=200))
 
 
-def test_an_abandoned_wait_gives_its_place_back():
+def test_cancelled_admission_releases_its_place():
     async def scenario(placement, services):
-        waiting = asyncio.create_task(placement.admit(make_ask("k1")))
+        waiting = asyncio.create_task(placement.admit(make_request("k1")))
         await asyncio.sleep(0)
         waiting.cancel()
         with pytest.raises(asyncio.CancelledError):
             await waiting
         services["upstreams"].upstreams.append(FakeUpstream("u1"))
         services["upstreams"].changed()
-        ticket = await placement.admit(make_ask("k2"))
+        ticket = await placement.admit(make_request("k2"))
         assert placement.choose(ticket, frozenset()).name == "u1"
-        while services["peers"].told.get("u1") != 1:
+        while services["peers"].announced.get("u1") != 1:
             await asyncio.sleep(0.01)
-        placement.finished(ticket, 1)
-        while services["peers"].told.get("u1") != 0:
+        placement.finish(ticket, 1)
+        while services["peers"].announced.get("u1") != 0:
             await asyncio.sleep(0.01)
 
     run(scenario)
 
 
-def test_retries_run_out():
+def test_retry_budget_runs_out():
     async def scenario(placement, services):
         allowed = [placement.may_retry() for _ in range(100)]
         assert allowed[0]
