--- a/src/balsamlift/relay/_backup.py
+++ b/src/balsamlift/relay/_backup.py
@@ -1,4 +1,4 @@
-"""A second engine that keeps the memory of a generation as it grows."""
+"""Keep a copy of a generation's memory on a second engine as it grows."""
 
 from __future__ import annotations
 
@@ -9,41 +9,42 @@
 
 
 class Backup:
-    """Hold room for the copy of one generation at a time.
+    """Reserve memory for a copy of one generation, on one engine at a time.
 
-    Engines crash without notice, or leave before all copies are away.
+    Guards against engines that crash without notice or terminate before all
+    their generations have been moved.
     """
 
     def __init__(self, tools: Tools, job: Job) -> None:
-        """Begin with none."""
+        """Start without a backup."""
         self._tools = tools
         self._job = job
         self._holding: Holding | None = None
 
     def choose(self, source: Upstream) -> None:
-        """Find an engine with room for a copy, other than `source`."""
+        """Choose an engine other than `source` that has memory for a copy."""
         self.release()
         job = self._job
         if not job.traits.can_back_up:
             return
-        self._holding = self._tools.rooms.hold_backup(
+        self._holding = self._tools.rooms.reserve_backup(
             job.scope, source, job.traits, job.tokens
         )
 
     @property
     def upstream(self) -> str:
-        """Return the name of the engine that keeps the copy; "": none."""
+        """Return the name of the backup engine, or "" if there is none."""
         return self._holding.upstream.name if self._holding else ""
 
     def headers(self) -> list[tuple[str, str]]:
-        """Return the headers that name it to the engine at work."""
+        """Return the headers that name the backup to the running engine."""
         if self._holding is None:
             return []
         names = self._tools.names
         return [(names.backup_address, self._holding.upstream.address)]
 
     def take(self) -> Upstream | None:
-        """Return the engine that has the copy, if it stays, and let go."""
+        """Return the backup engine if it stays; release its memory."""
         holding = self._holding
         self.release()
         if holding is None:
@@ -53,7 +54,7 @@
         return holding.upstream
 
     def release(self) -> None:
-        """Give the room back."""
+        """Release the reserved memory."""
         holding, self._holding = self._holding, None
         if holding is not None:
             holding.release()
--- a/src/balsamlift/relay/_balance.py
+++ b/src/balsamlift/relay/_balance.py
@@ -1,4 +1,4 @@
-"""Choose an upstream for each call, by what all hosts have in flight."""
+"""Choose an upstream for each call by the calls in flight of all hosts."""
 
 from __future__ import annotations
 
@@ -18,32 +18,33 @@
 from balsamlift.relay._cold_starts import ColdStarts
 from balsamlift.relay._health import UpstreamHealth
 from balsamlift.relay._scope import Scope
-from balsamlift.relay._words import Words
+from balsamlift.relay._shared_health import SharedHealth
 
-# An upstream that fails each request counts as if it had this many calls
-# more in flight than it has.
-FAILURE_CALLS = 12.0
-# One call in flight less does not outweigh the bytes between failure domains.
-OTHER_DOMAIN_CALLS = 1.5
+# Extra calls in flight that an upstream is charged with if all of its
+# requests fail.
+FAILURE_PENALTY_CALLS = 12.0
+# Extra calls in flight charged for another failure domain: one call less in
+# flight does not outweigh the traffic between failure domains.
+CROSS_DOMAIN_PENALTY_CALLS = 1.5
 
 
 def backup_key(upstream: str) -> str:
-    """Return under which name the memory of backups there is counted."""
+    """Return the key that counts memory reserved there for backups."""
     return f"{upstream}/backups"
 
 
 def prefill_key(upstream: str) -> str:
-    """Return under which name prompts still to be read there are counted."""
+    """Return the key that counts prompt tokens not yet processed there."""
     return f"{upstream}/prefill"
 
 
 def link_key(upstream: str) -> str:
-    """Return under which name copies under way from there are counted."""
+    """Return the key that counts copies in progress from there."""
     return f"{upstream}/link"
 
 
 class Balancer:
-    """Know the load of upstreams and share new calls out."""
+    """Track the load of upstreams and choose upstreams for new calls."""
 
     def __init__(
         self,
@@ -55,7 +56,7 @@
         cold_starts: ColdStarts | None = None,
         regions: Mapping[str, str] | None = None,
     ) -> None:
-        """Count calls of this host and add what `peers` tell.
+        """Add the counts received by `peers` to those of this host.
 
         `regions` holds the region of each failure domain.
         """
@@ -66,59 +67,61 @@
         self._clock = clock
         self._random = rng
         self._failure_domain = failure_domain
-        self._own: Counter[str] = Counter()
+        self._own_counts: Counter[str] = Counter()
         self._on_release: list[Callable[[], None]] = []
         self.health = UpstreamHealth()
-        self._words = Words(
+        self._shared_health = SharedHealth(
             peers.set_in_flight,
             peers.tell_counts,
-            self._told_words,
+            self._reporting_hosts,
             peers.place_for,
         )
-        upstreams.on_change(self._forget)
+        upstreams.on_change(self._prune)
 
     def load(self, upstream: str) -> int:
-        """Return what all hosts together have in flight there."""
-        return self._own[upstream] + self._peers.in_flight(upstream)
+        """Return the load of all hosts together on this upstream."""
+        return self._own_counts[upstream] + self._peers.in_flight(upstream)
 
     @property
     def hears_all(self) -> bool:
-        """Tell whether the other hosts' counts come by themselves, at once."""
+        """Tell whether other hosts push their counts as they change."""
         return self._peers.hears_all
 
     @property
     def counts_basis(self) -> CountsBasis:
-        """Return what the other hosts' part of a load rests on."""
+        """Return how the other hosts' part of a load was obtained."""
         return self._peers.counts_basis
 
-    def draw(
-        self, upstreams: Sequence[Upstream], most: int | None
+    def sample(
+        self, upstreams: Sequence[Upstream], limit: int | None
     ) -> list[Upstream]:
-        """Return some of them, all by default, in random order."""
-        number = len(upstreams) if most is None else min(most, len(upstreams))
+        """Return a random sample; all of them if there is no `limit`."""
+        number = (
+            len(upstreams) if limit is None else min(limit, len(upstreams))
+        )
         return self._random.sample(upstreams, number)
 
     def own_load(self, upstream: str) -> int:
-        """Return what this host has in flight there."""
-        return self._own[upstream]
+        """Return the load of this host on an upstream."""
+        return self._own_counts[upstream]
 
     def add(self, upstream: str, n: int) -> None:
-        """Add to what this host has in flight; `n` may be negative."""
-        self._own[upstream] += n
-        self._peers.set_in_flight(upstream, self._own[upstream])
+        """Add `n`, which may be negative, to the load of this host."""
+        self._own_counts[upstream] += n
+        self._peers.set_in_flight(upstream, self._own_counts[upstream])
         if n < 0:
             for callback in self._on_release:
                 callback()
 
-    def tell(self) -> None:
-        """Let the other hosts know of what was added without delay.
+    def publish(self) -> None:
+        """Publish the counts of this host to the other hosts at once.
 
-        Until they do, they may fill the same engine.
+        Until they receive them, they may fill the same engine.
         """
         self._peers.tell_counts()
 
     async def refresh(self) -> None:
-        """Have what the other hosts have in flight by now, if that lags."""
+        """Fetch the current counts of other hosts if they are not pushed."""
         await self._peers.refresh_counts()
 
     @contextmanager
@@ -131,71 +134,74 @@
             self.add(upstream, -n)
 
     def on_release(self, callback: Callable[[], None]) -> None:
-        """Call back whenever something is no longer in flight."""
+        """Register a callback for every decrease of this host's load."""
         self._on_release.append(callback)
 
     def usable(self, scope: Scope, tried: Collection[str]) -> list[Upstream]:
         """Return the upstreams to choose from.
 
-        Those left alone after failures come back in when there is no other.
+        Ejected and avoided upstreams are included if there are no others.
         """
         members = self._upstreams.in_pool(scope.pool)
-        listed = [
+        candidates = [
             u
             for u in members
             if u.name not in tried
-            and self._is_in(scope, u)
-            and self._tolerates(u)
+            and self._is_permitted(scope, u)
+            and self._allows_cold_start(u)
         ]
         now_s = self._clock.monotonic()
-        broken = self._words.avoided([u.name for u in members])
-        sound = [
+        avoided = self._shared_health.avoided([u.name for u in members])
+        healthy = [
             u
-            for u in listed
-            if u.name not in broken
+            for u in candidates
+            if u.name not in avoided
             and not self.health.is_ejected(u.name, now_s)
         ]
-        return sound or listed
+        return healthy or candidates
 
-    def _told_words(self, key: str) -> int:
-        """Return how many other hosts tell that.
+    def _reporting_hosts(self, key: str) -> int:
+        """Return how many other hosts report the health state `key`.
 
-        Scaled up from a few partners, one host's word would count as many.
+        Returns 0 if counts are scaled up from a few peers: the report of one
+        host would count as the reports of many.
         """
         if self._peers.counts_basis == "scaled":
             return 0
         return self._peers.in_flight(key)
 
-    def _tolerates(self, upstream: Upstream) -> bool:
+    def _allows_cold_start(self, upstream: Upstream) -> bool:
         return self._cold_starts is None or self._cold_starts.allows(upstream)
 
     def sending(self, upstream: Upstream) -> None:
-        """Count a request that was placed, for as long as it is cold."""
+        """Count a send towards the limit of a cold upstream."""
         if self._cold_starts is not None:
             self._cold_starts.sending(upstream)
 
     def is_closed(self, scope: Scope) -> bool:
-        """Tell whether operators leave a call no upstream.
+        """Tell whether operators leave no upstream for a call.
 
-        By evacuations, or as its route and workspace share no region.
+        Either by evacuations, or because its route and its workspace have no
+        region in common.
         """
         if scope.regions is not None and not scope.regions:
             return True
         if any(
-            self._is_in(scope, u) for u in self._upstreams.in_pool(scope.pool)
+            self._is_permitted(scope, u)
+            for u in self._upstreams.in_pool(scope.pool)
         ):
             return False
         evacuated = self._upstreams.evacuated(scope.pool)
-        return any(self._is_in(scope, u) for u in evacuated)
+        return any(self._is_permitted(scope, u) for u in evacuated)
 
-    def _is_in(self, scope: Scope, upstream: Upstream) -> bool:
+    def _is_permitted(self, scope: Scope, upstream: Upstream) -> bool:
         region = self._regions.get(upstream.failure_domain, "")
         return scope.allows(region)
 
     def place_call(
         self, scope: Scope, tried: Collection[str]
     ) -> Upstream | None:
-        """Return the upstream for a call that is sent there at once."""
+        """Return the upstream for a call that is sent there immediately."""
         choices = self.usable(scope, tried)
         if not choices:
             return None
@@ -204,50 +210,59 @@
         return upstream
 
     def saw_success(self, upstream: str) -> None:
-        """Note a whole answer, or the beginning of one."""
-        self.health.succeeded(upstream)
-        self._words.saw(upstream, self._clock.monotonic(), is_failing=False)
+        """Record a complete answer, or the start of a streamed one."""
+        self.health.record_success(upstream)
+        self._shared_health.record(
+            upstream, self._clock.monotonic(), is_failing=False
+        )
 
     def saw_failure(self, upstream: str) -> None:
-        """Note an answer that says the request failed."""
+        """Record an answer that reports a failed request."""
         self.health.failed(upstream)
-        self._words.saw(upstream, self._clock.monotonic(), is_failing=True)
+        self._shared_health.record(
+            upstream, self._clock.monotonic(), is_failing=True
+        )
 
     def saw_break(self, upstream: str) -> float:
-        """Note that no whole answer came; return for how long it is out."""
+        """Eject an upstream that sent no complete answer.
+
+        Returns the duration of the ejection.
+        """
         now_s = self._clock.monotonic()
-        self._words.saw(upstream, now_s, is_failing=True)
-        return self.health.broke(upstream, now_s)
+        self._shared_health.record(upstream, now_s, is_failing=True)
+        return self.health.eject(upstream, now_s)
 
     def failure_share(self, upstream: str) -> float:
-        """Return how likely the next request there is to fail, 0 to 1."""
+        """Return the probability that its next request fails, 0 to 1."""
         return max(
             self.health.failure_share(upstream),
-            self._words.verdict(upstream).failure_share,
+            self._shared_health.reports(upstream).failure_share,
         )
 
     def forget_old(self) -> None:
-        """Let what was seen of upstreams run out; call each second."""
+        """Discard expired observations; called every second."""
         live = {upstream.name for upstream in self._upstreams.all()}
-        self._words.expire(self._clock.monotonic(), live)
+        self._shared_health.expire(self._clock.monotonic(), live)
         if self._cold_starts is not None:
-            self._cold_starts.forget(live)
+            self._cold_starts.prune(live)
 
     def _call_cost(self, upstream: Upstream) -> tuple[float, float]:
         cost = float(self.load(upstream.name))
-        cost += FAILURE_CALLS * self.failure_share(upstream.name)
-        cost += self.domain_cost(upstream) * OTHER_DOMAIN_CALLS
+        cost += FAILURE_PENALTY_CALLS * self.failure_share(upstream.name)
+        cost += self.domain_cost(upstream) * CROSS_DOMAIN_PENALTY_CALLS
         return cost, self._random.random()
 
-    def domain_cost(self, upstream: Upstream, near: str = "") -> int:
-        """Return 0 in the failure domain `near` and 1 elsewhere.
+    def domain_cost(self, upstream: Upstream, near_domain: str = "") -> int:
+        """Return 0 in the failure domain `near_domain` and 1 elsewhere.
 
-        By default, that of this host.
+        It defaults to the failure domain of this host.
         """
-        return int(upstream.failure_domain != (near or self._failure_domain))
+        return int(
+            upstream.failure_domain != (near_domain or self._failure_domain)
+        )
 
-    def _forget(self) -> None:
+    def _prune(self) -> None:
         live = {upstream.name for upstream in self._upstreams.all()}
-        self.health.forget(live)
-        for name in [n for n, count in self._own.items() if not count]:
-            del self._own[name]
+        self.health.prune(live)
+        for name in [n for n, count in self._own_counts.items() if not count]:
+            del self._own_counts[name]
--- a/src/balsamlift/relay/_cold_starts.py
+++ b/src/balsamlift/relay/_cold_starts.py
@@ -1,8 +1,8 @@
-"""How many requests an upstream gets while it is cold, from all hosts.
+"""Limit the requests that all hosts together send to a cold upstream.
 
-An upstream that has just started crashes under more. Its bound is divided
-among hosts that need not ask one another: each works out its own share from
-the hosts that it knows.
+An upstream that has just started crashes under more requests. The limit is
+divided among hosts without coordination: each host computes its own share
+from the hosts that it knows.
 """
 
 from __future__ import annotations
@@ -15,20 +15,19 @@
 from balsamlift.clock import Clock
 from balsamlift.peers import Place, Upstream
 
-# Hosts that know other hosts divide the bound differently: those that are
-# cut off, and those that have just heard of new ones. So many such groups
-# stay within the bound together.
-GROUPS = 3
-# A request may arrive this much later than the one before it, and still
-# within the same second.
+# Hosts that know different sets of hosts divide the limit differently: those
+# behind a network partition, and those that have just learned of new hosts.
+# Up to this many such groups stay within the limit together.
+MEMBERSHIP_GROUPS = 3
+# Requests up to this far apart when sent may arrive within the same second.
 WINDOW_S = 1.25
-# A host that has just started does not know the others yet.
-START_S = 3.0
+# A host that has just started does not know the other hosts yet.
+STARTUP_S = 3.0
 
 
 @attrs.frozen(kw_only=True)
 class ColdLimits:
-    """Hold what the platform allows beyond what an upstream tolerates."""
+    """The limit of the platform, relative to what an upstream tolerates."""
 
     factor: float
     extra_per_s: float
@@ -37,16 +36,16 @@
 def host_share(
     place: Place, tolerated_per_s: float, limits: ColdLimits
 ) -> int:
-    """Return what the host at that place may send one upstream in a second."""
-    bound = int(tolerated_per_s * limits.factor + limits.extra_per_s)
-    # Less than one for each group can only be held by one group.
-    group_bound = max(bound // GROUPS, min(bound, 1))
-    least, rest = divmod(group_bound, place.hosts)
-    return least + (place.position < rest)
+    """Return how many requests a second that host may send an upstream."""
+    limit = int(tolerated_per_s * limits.factor + limits.extra_per_s)
+    # A limit of less than one request per group goes to a single group.
+    group_limit = max(limit // MEMBERSHIP_GROUPS, min(limit, 1))
+    quotient, remainder = divmod(group_limit, place.hosts)
+    return quotient + (place.position < remainder)
 
 
 class ColdStarts:
-    """Count what this host sends to upstreams that are cold."""
+    """Limit the requests from this host to cold upstreams."""
 
     def __init__(
         self,
@@ -55,47 +54,48 @@
         place_for: Callable[[str], Place],
         clock: Clock,
     ) -> None:
-        """Bound nothing where there are no `limits`.
+        """Apply no limit if `limits` is None.
 
-        `tolerated_per_s` tells it of a pool, None where there is no bound;
-        `place_for` returns this host's place among all that it has heard of.
+        `tolerated_per_s` returns what an upstream of a pool tolerates, or
+        None for no limit; `place_for` returns this host's place among all
+        hosts that it knows of.
         """
         self._limits = limits
         self._tolerated_per_s = tolerated_per_s
         self._place_for = place_for
         self._clock = clock
         self._started_s = clock.monotonic()
-        self._sent: dict[str, deque[float]] = {}
+        self._send_times: dict[str, deque[float]] = {}
 
     def allows(self, upstream: Upstream) -> bool:
-        """Tell whether this host may send it one more request now."""
+        """Tell whether this host may send one more request there now."""
         if self._limits is None:
             return True
         now_s = self._clock.monotonic()
         tolerated_per_s = self._tolerated_per_s(upstream.pool)
         if tolerated_per_s is None or upstream.cold_until_s <= now_s:
             return True
-        if now_s < self._started_s + START_S:
+        if now_s < self._started_s + STARTUP_S:
             return False
         place = self._place_for(upstream.name)
         share = host_share(place, tolerated_per_s, self._limits)
-        return self._recent(upstream.name, now_s) < share
+        return self._recent_sends(upstream.name, now_s) < share
 
     def sending(self, upstream: Upstream) -> None:
         """Count a request that is about to be sent."""
         if self._limits is not None:
-            times = self._sent.setdefault(upstream.name, deque())
+            times = self._send_times.setdefault(upstream.name, deque())
             times.append(self._clock.monotonic())
 
-    def forget(self, live: Collection[str]) -> None:
-        """Drop what is too old, or was sent to upstreams that are gone."""
+    def prune(self, live: Collection[str]) -> None:
+        """Discard expired sends and those to upstreams not in `live`."""
         now_s = self._clock.monotonic()
-        for name in list(self._sent):
-            if name not in live or not self._recent(name, now_s):
-                del self._sent[name]
+        for name in list(self._send_times):
+            if name not in live or not self._recent_sends(name, now_s):
+                del self._send_times[name]
 
-    def _recent(self, name: str, now_s: float) -> int:
-        times = self._sent.get(name, deque())
+    def _recent_sends(self, name: str, now_s: float) -> int:
+        times = self._send_times.get(name, deque())
         while times and times[0] <= now_s - WINDOW_S:
             times.popleft()
         return len(times)
--- a/src/balsamlift/relay/_directory.py
+++ b/src/balsamlift/relay/_directory.py
@@ -1,4 +1,4 @@
-"""Tell callers which hosts to use, and the platform whether this one is."""
+"""Provide callers with host addresses and report this host's readiness."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from balsamlift.peers import Peers
 from balsamlift.relay._routing import Routing
 
-# Callers take no more from one answer.
-MOST_ADDRESSES = 64
-# With fewer hosts than this in their own failure domain, callers are given
-# those of the others too: one that dies must leave them another.
-FEWEST_NEAR = 2
+# Callers use no more addresses than this from one answer.
+MAX_ADDRESSES = 64
+# If a caller's failure domain has fewer hosts than this, it also gets hosts
+# of others, so that another remains if one host dies.
+MIN_NEAR_HOSTS = 2
 
 
 @attrs.frozen
 class AddressAnswer:
-    """Hold hosts for a caller, and for how long to keep them."""
+    """Host addresses for a caller, and how long it may cache them."""
 
     addresses: list[str]
     keep_ms: int
@@ -28,49 +28,54 @@
 
 @attrs.frozen
 class Caller:
-    """Hold where a caller is, and the host name that it will call."""
+    """The location of a caller, and the host name that it will call."""
 
     failure_domain: str
-    region: str = ""  # empty: not told
+    region: str = ""  # empty: unknown
     host_name: str = ""
 
 
 @attrs.define
-class NamedHosts:
-    """Hold the hosts that take requests, by where a caller finds them."""
+class HostsByLocation:
+    """Ready hosts, grouped by their location relative to a caller."""
 
-    near: list[str] = attrs.field(factory=list)  # in its failure domain
-    far: list[str] = attrs.field(factory=list)  # in its region
-    abroad: list[str] = attrs.field(factory=list)
-    # Abroad, in regions where all that it may call may run.
-    at_home: list[str] = attrs.field(factory=list)
+    same_domain: list[str] = attrs.field(factory=list)  # in its failure domain
+    same_region: list[str] = attrs.field(factory=list)  # in other domains
+    other_regions: list[str] = attrs.field(factory=list)
+    # Those in other regions where all calls to its host name may run.
+    permitted: list[str] = attrs.field(factory=list)
 
-    def besides_near(self) -> list[str]:
-        """Return other hosts to name; those abroad only if need be."""
-        if len(self.near) + len(self.far) >= FEWEST_NEAR:
-            return self.far
-        if self.near or self.far or self.at_home:
-            return [*self.far, *self.at_home]
-        return self.abroad
+    def fallback_hosts(self) -> list[str]:
+        """Return fallback hosts; other regions only if necessary."""
+        if len(self.same_domain) + len(self.same_region) >= MIN_NEAR_HOSTS:
+            return self.same_region
+        if self.same_domain or self.same_region or self.permitted:
+            return [*self.same_region, *self.permitted]
+        return self.other_regions
 
 
 def choose_addresses(
-    near: Sequence[str], far: Sequence[str], rng: random.Random
+    preferred: Sequence[str], fallback: Sequence[str], rng: random.Random
 ) -> list[str]:
-    """Return hosts for one caller, its own failure domain first.
+    """Return hosts for one caller, from its own failure domain first.
 
-    Of more than fit each answer names others, so that all get their share.
+    If there are too many for one answer, each answer has a random sample, so
+    that all hosts are used equally.
     """
-    usable = near if len(near) >= FEWEST_NEAR else [*near, *far]
-    if len(usable) <= MOST_ADDRESSES:
+    usable = (
+        preferred
+        if len(preferred) >= MIN_NEAR_HOSTS
+        else [*preferred, *fallback]
+    )
+    if len(usable) <= MAX_ADDRESSES:
         return list(usable)
-    kept = list(near) if usable is not near else []
+    kept = list(preferred) if usable is not preferred else []
     rest = [address for address in usable if address not in kept]
-    return kept + rng.sample(rest, MOST_ADDRESSES - len(kept))
+    return kept + rng.sample(rest, MAX_ADDRESSES - len(kept))
 
 
 class Directory:
-    """Know which hosts take requests."""
+    """Determine which hosts accept requests."""
 
     name = "directory"
 
@@ -81,7 +86,7 @@
         rng: random.Random,
         regions: Mapping[str, str] | None = None,
     ) -> None:
-        """Let callers keep an answer for `keep_ms`.
+        """Let callers cache an answer for `keep_ms`.
 
         `regions` holds the region of each failure domain.
         """
@@ -91,50 +96,50 @@
         self._keep_ms = keep_ms
 
     async def start(self, kernel: Kernel) -> None:
-        """Find the other services."""
+        """Look up the services that this one depends on."""
         self._peers = kernel.find("peers", Peers)
         self._routing = kernel.find("routing", Routing)
 
     async def stop(self) -> None:
-        """Have nothing to end."""
+        """Do nothing; this service has no tasks to stop."""
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether this host takes requests."""
+        """Tell whether this host accepts requests."""
         return self._routing.is_configured and not self._peers.leaving
 
     def find(self, caller: Caller) -> AddressAnswer:
-        """Return the hosts for a caller; none if nobody is ready."""
-        named = self._sort(caller)
+        """Return the hosts for a caller; none if no host is ready."""
+        hosts = self._group_ready_hosts(caller)
         addresses = choose_addresses(
-            named.near, named.besides_near(), self._random
+            hosts.same_domain, hosts.fallback_hosts(), self._random
         )
         return AddressAnswer(addresses, self._keep_ms)
 
-    def _sort(self, caller: Caller) -> NamedHosts:
-        """Return the hosts that take requests, by where the caller is."""
+    def _group_ready_hosts(self, caller: Caller) -> HostsByLocation:
+        """Group the ready hosts by their location relative to `caller`."""
         callers_region = self._regions.get(
             caller.failure_domain, caller.region
         )
-        homes = self._routing.regions_of(caller.host_name)
-        named = NamedHosts()
-        for address, domain in self._ready():
+        permitted_regions = self._routing.regions_of(caller.host_name)
+        hosts = HostsByLocation()
+        for address, domain in self._ready_hosts():
             region = self._regions.get(domain, "")
             if domain == caller.failure_domain:
-                named.near.append(address)
+                hosts.same_domain.append(address)
             elif region == callers_region or not callers_region:
-                named.far.append(address)
+                hosts.same_region.append(address)
             else:
-                named.abroad.append(address)
-                if homes is None or region in homes:
-                    named.at_home.append(address)
-        return named
+                hosts.other_regions.append(address)
+                if permitted_regions is None or region in permitted_regions:
+                    hosts.permitted.append(address)
+        return hosts
 
-    def _ready(self) -> Iterator[tuple[str, str]]:
-        """Yield address and failure domain of each host that is ready."""
+    def _ready_hosts(self) -> Iterator[tuple[str, str]]:
+        """Yield the address and failure domain of each ready host."""
         if self.is_ready:
             yield self._peers.own.callers_address, self._failure_domain
         for peer in self._peers.live():
-            # A peer that was not heard from yet may still be starting.
+            # A peer that has not been heard from yet may still be starting.
             if not peer.leaving and peer.caught_up:
                 yield peer.callers_address, peer.failure_domain
--- a/src/balsamlift/relay/_doubts.py
+++ b/src/balsamlift/relay/_doubts.py
@@ -1,4 +1,4 @@
-"""Ask engines themselves while the list of upstreams cannot be read."""
+"""Detect leaving engines while the list of upstreams cannot be read."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from balsamlift.peers import Upstream, Upstreams
 from balsamlift.relay._engines import EngineCalls, ReportError
 
-# An engine that gives notice must be found out in time for a move.
-ASK_S = 0.5
+# Short enough to leave time for a move after an engine has given notice.
+POLL_INTERVAL_S = 0.5
 REPORT_SOURCE = "report"
 
 
 class Doubts:
-    """Find out which engines leave, when no list tells it.
+    """Detect leaving engines from their reports.
 
-    A report is priced by the platform, so only engines that this host has
-    work on are asked, and only while it is cut off; what is found goes to
-    all hosts as a mark.
+    The platform charges for reports, so only engines that run work of this
+    host are asked, and only while the list of upstreams is unavailable.
+    Leaving engines are marked, and the marks are shared with all hosts.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         clock: Clock,
         in_use: Callable[[], Collection[Upstream]],
     ) -> None:
-        """Ask the engines that `in_use` returns."""
+        """Check the engines that `in_use` returns."""
         self._upstreams = upstreams
         self._engines = engines
         self._clock = clock
@@ -38,32 +38,34 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to look."""
-        self._task = asyncio.create_task(self._keep_asking())
+        """Start polling."""
+        self._task = asyncio.create_task(self._keep_polling())
 
     async def stop(self) -> None:
-        """End looking."""
+        """Stop polling."""
         await end_task(self._task)
 
-    async def _keep_asking(self) -> None:
+    async def _keep_polling(self) -> None:
         while True:
-            await self._clock.sleep(ASK_S)
+            await self._clock.sleep(POLL_INTERVAL_S)
             if not self._upstreams.is_cut_off:
                 continue
-            asked = [
+            candidates = [
                 upstream
                 for upstream in self._in_use()
                 if upstream.state == "live"
             ]
-            await asyncio.gather(*(self._ask(upstream) for upstream in asked))
+            await asyncio.gather(
+                *(self._check(upstream) for upstream in candidates)
+            )
 
-    async def _ask(self, upstream: Upstream) -> None:
+    async def _check(self, upstream: Upstream) -> None:
         try:
             report = await self._engines.report(upstream)
         except ReportError:
-            # Its generations notice by themselves when it is gone.
+            # If the engine is gone, its generations detect that on their own.
             return
-        # One that has started again holds nothing of what this host sent it.
-        has_ended = report.started_ms not in (0, upstream.started_ms)
-        if report.is_leaving or has_ended:
+        # A restarted engine has lost all work that this host sent to it.
+        has_restarted = report.started_ms not in (0, upstream.started_ms)
+        if report.is_leaving or has_restarted:
             self._upstreams.mark(upstream.name, "leaving", REPORT_SOURCE)
--- a/src/balsamlift/relay/_health.py
+++ b/src/balsamlift/relay/_health.py
@@ -1,21 +1,21 @@
-"""What this host has seen of each upstream: failures, and for how long."""
+"""Track the failures of each upstream as seen by this host."""
 
 from __future__ import annotations
 
 import attrs
 
-# An upstream that cannot be reached is left alone this long, twice as long
-# after each failure in a row.
+# Time for which an upstream that cannot be reached is ejected; doubled for
+# each consecutive failure.
 FIRST_EJECTION_S = 0.5
-# Waiting longer would miss its replacement.
-LONGEST_EJECTION_S = 4.0
-# Weight of the newest answer in the share of failures.
+# A longer ejection would delay the use of the upstream's replacement.
+MAX_EJECTION_S = 4.0
+# Weight of the newest answer in the moving average of failures.
 FAILURE_WEIGHT = 0.1
 
 
 @attrs.define
-class _Seen:
-    """Hold what was seen of one upstream."""
+class _Results:
+    """Hold the recent results of one upstream."""
 
     failure_share: float = 0.0
     ejections: int = 0
@@ -23,47 +23,50 @@
 
 
 class UpstreamHealth:
-    """Judge upstreams by their answers to this host."""
+    """Rate upstreams by their answers to this host."""
 
     def __init__(self) -> None:
-        """Begin with nothing seen."""
-        self._seen: dict[str, _Seen] = {}
+        """Start without any results."""
+        self._results: dict[str, _Results] = {}
 
-    def succeeded(self, upstream: str) -> None:
-        """Note a whole answer."""
-        seen = self._seen.get(upstream)
-        if seen is None:
+    def record_success(self, upstream: str) -> None:
+        """Record a complete answer."""
+        results = self._results.get(upstream)
+        if results is None:
             return
-        seen.failure_share *= 1 - FAILURE_WEIGHT
-        seen.ejections = 0
-        seen.ejected_until_s = 0.0
+        results.failure_share *= 1 - FAILURE_WEIGHT
+        results.ejections = 0
+        results.ejected_until_s = 0.0
 
     def failed(self, upstream: str) -> None:
-        """Note an answer that says the request failed."""
-        seen = self._seen.setdefault(upstream, _Seen())
-        seen.failure_share += FAILURE_WEIGHT * (1 - seen.failure_share)
+        """Record an answer that reports a failed request."""
+        results = self._results.setdefault(upstream, _Results())
+        results.failure_share += FAILURE_WEIGHT * (1 - results.failure_share)
 
-    def broke(self, upstream: str, now_s: float) -> float:
-        """Note that no whole answer came; return for how long it is out."""
+    def eject(self, upstream: str, now_s: float) -> float:
+        """Eject an upstream that sent no complete answer.
+
+        Returns the duration of the ejection.
+        """
         self.failed(upstream)
-        seen = self._seen[upstream]
-        doubled: float = FIRST_EJECTION_S * 2.0**seen.ejections
-        out_s = min(doubled, LONGEST_EJECTION_S)
-        seen.ejections += 1
-        seen.ejected_until_s = now_s + out_s
-        return out_s
+        results = self._results[upstream]
+        doubled: float = FIRST_EJECTION_S * 2.0**results.ejections
+        ejection_s = min(doubled, MAX_EJECTION_S)
+        results.ejections += 1
+        results.ejected_until_s = now_s + ejection_s
+        return ejection_s
 
     def failure_share(self, upstream: str) -> float:
-        """Return the share of recent answers that were failures."""
-        seen = self._seen.get(upstream)
-        return seen.failure_share if seen else 0.0
+        """Return the moving average of failures, 0 to 1."""
+        results = self._results.get(upstream)
+        return results.failure_share if results else 0.0
 
     def is_ejected(self, upstream: str, now_s: float) -> bool:
-        """Tell whether it is left alone for now."""
-        seen = self._seen.get(upstream)
-        return seen is not None and now_s < seen.ejected_until_s
-
-    def forget(self, live: set[str]) -> None:
-        """Drop what was seen of upstreams that are gone."""
-        for name in self._seen.keys() - live:
-            del self._seen[name]
+        """Tell whether the upstream is ejected."""
+        results = self._results.get(upstream)
+        return results is not None and now_s < results.ejected_until_s
+
+    def prune(self, live: set[str]) -> None:
+        """Discard the results of all upstreams that are not in `live`."""
+        for name in self._results.keys() - live:
+            del self._results[name]
--- a/src/balsamlift/relay/_job.py
+++ b/src/balsamlift/relay/_job.py
@@ -1,4 +1,4 @@
-"""What one generation asks of its engines."""
+"""The call of one generation and its memory requirements."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class Job:
-    """Hold a call for a generation, and what it takes to run it."""
+    """A call for a generation, with its token estimate and engine traits."""
 
     call: Call
     need: Need
@@ -20,15 +20,15 @@
 
     @property
     def request_id(self) -> str:
-        """Return the id under which engines know it."""
+        """Return the id by which engines know the generation."""
         return self.call.request_id
 
     @property
     def scope(self) -> Scope:
-        """Return which engines may run it."""
+        """Return the pool and the regions in which it may run."""
         return self.call.scope
 
     @property
     def tokens(self) -> int:
-        """Return the memory to expect at its end."""
+        """Return the memory expected to be in use when it ends."""
         return self.need.tokens
--- a/src/balsamlift/relay/_move.py
+++ b/src/balsamlift/relay/_move.py
@@ -1,4 +1,4 @@
-"""Move the memory of one generation to another engine, in its turn."""
+"""Move the memory of a generation off a leaving engine."""
 
 from __future__ import annotations
 
@@ -8,30 +8,31 @@
 
 from balsamlift.exceptions import UpstreamError
 from balsamlift.peers import Upstream
-from balsamlift.relay._claims import claim_room
-from balsamlift.relay._departure import copy_s
 from balsamlift.relay._engines import Copy, CopyRefusedError
 from balsamlift.relay._job import Job
-from balsamlift.relay._link_turn import LinkTurn
+from balsamlift.relay._link_access import LinkAccess
+from balsamlift.relay._move_reservation import reserve_for_move
 from balsamlift.relay._rooms import Holding
+from balsamlift.relay._termination import estimate_copy_s
 from balsamlift.relay._tools import Tools
 
 log = logger.bind(part="generations")
 
-# A generation is stopped for its last copy after one that took no longer than
-# this, which tells that the link is free: callers notice no such pause.
+# Duration of a copy that shows that the link is free. The generation can then
+# be stopped for the last copy: callers do not notice so short a pause.
 QUICK_COPY_S = 0.06
-# So does one that took little more than over a free link, while no other host
-# copies from there.
+# Same for a copy that took at most this many times as long as over an idle
+# link, while no other host copies from that engine.
 FREE_LINK_FACTOR = 1.3
-# Before the engine is gone: the last copy may have to wait for another.
-STOP_BEFORE_S = 0.2
-# Between two tries to find room for a generation off an engine that leaves.
-MOVE_AGAIN_S = 0.1
+# Time reserved before the termination: the last copy may have to wait for
+# another.
+STOP_MARGIN_S = 0.2
+# Delay before looking again for an engine with enough memory.
+RETRY_DELAY_S = 0.1
 
 
 class Move:
-    """Take one generation off an engine that leaves."""
+    """Move one generation off a leaving engine."""
 
     def __init__(
         self,
@@ -39,27 +40,27 @@
         job: Job,
         source: Upstream,
     ) -> None:
-        """Count the time from here on: the notice has just come."""
+        """Start at the engine's notice, which has just arrived."""
         self._tools = tools
         self._job = job
         self._source = source
-        self._claim: Holding | None = None
-        self._turn = LinkTurn(
+        self._reservation: Holding | None = None
+        self._link_access = LinkAccess(
             tools.balancer, tools.engines, source, job.request_id
         )
 
     async def run(self) -> Copy | None:
-        """Copy the memory while the engine works, then stop it there.
+        """Copy the memory while the engine runs, then stop it and finish.
 
-        The stop closes the engine's stream without its end; then the
-        request goes on where the copy is. Returns None when it could not
-        be copied and so runs on where it is.
+        Stopping closes the engine's stream without an end event, and the
+        request is resumed on the engine with the copy. Returns None if the
+        copy failed; the generation then continues where it is.
         """
         tried = {self._source.name}
         while True:
-            target = await self._claim_target(tried)
+            target = await self._reserve_target(tried)
             if target is None:
-                await asyncio.sleep(MOVE_AGAIN_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 tried = {self._source.name}
                 continue
             try:
@@ -76,30 +77,31 @@
                 return None
 
     def release(self) -> None:
-        """Give back the room at the target, once the generation has it.
+        """Release the memory reserved on the target.
 
-        Until then nobody else may take it: the answer of an engine that goes
-        on from a copy takes up to a second.
+        Called once the resumed generation occupies it: an engine that resumes
+        from a copy takes up to a second to answer, and the memory must not be
+        given to others before that.
         """
-        if self._claim is not None:
-            self._claim.release()
-            self._claim = None
+        if self._reservation is not None:
+            self._reservation.release()
+            self._reservation = None
 
-    async def _claim_target(self, tried: set[str]) -> Upstream | None:
+    async def _reserve_target(self, tried: set[str]) -> Upstream | None:
         tools = self._tools
-        self._claim = await claim_room(
+        self._reservation = await reserve_for_move(
             tools, self._job, self._source.failure_domain, tried
         )
-        return self._claim.upstream if self._claim else None
+        return self._reservation.upstream if self._reservation else None
 
     async def _move_to(self, target: Upstream) -> Copy:
         loop = asyncio.get_running_loop()
-        await self._turn.wait(self._copy_s(target))
-        left_s = self._turn.departure.gone_s - loop.time()
-        place = self._turn.place
-        self._log(target, f"begins, {place} ahead, {left_s:.2f} s left")
-        with self._turn.hold():
-            await self._copy_until_quick(target)
+        await self._link_access.wait(self._full_copy_s(target))
+        left_s = self._link_access.termination.terminates_s - loop.time()
+        position = self._link_access.position
+        self._log(target, f"begins, {position} ahead, {left_s:.2f} s left")
+        with self._link_access.hold():
+            await self._pre_copy(target)
             if self._tools.upstreams.is_in_evacuation(target):
                 raise CopyRefusedError(target.name, "evacuated")
             stopped_s = loop.time()
@@ -110,36 +112,36 @@
         self._log(target, f"copied, last part in {stop_ms} ms")
         return copy
 
-    async def _copy_until_quick(self, target: Upstream) -> None:
-        """Copy while the engine works, until the rest takes no time.
+    async def _pre_copy(self, target: Upstream) -> None:
+        """Copy while the engine runs, until little is left to copy.
 
-        Another copy may have begun at the same moment, and the target takes
-        those of other engines: the last part would wait for all of them, and
-        the caller with it.
+        Another copy may have started at the same time, and the target also
+        receives copies from other engines. The last part would have to wait
+        for all of them, and so would the caller.
         """
         loop = asyncio.get_running_loop()
-        stop_by_s = self._turn.departure.gone_s - STOP_BEFORE_S
-        free_s = self._copy_s(target) * FREE_LINK_FACTOR
+        stop_by_s = self._link_access.termination.terminates_s - STOP_MARGIN_S
+        idle_link_s = self._full_copy_s(target) * FREE_LINK_FACTOR
         while True:
-            began_s = loop.time()
+            started_s = loop.time()
             await self._tools.engines.copy(
                 self._source, self._job.request_id, target, stop=False
             )
-            took_s = loop.time() - began_s
-            is_free = self._turn.is_alone and took_s <= free_s
+            took_s = loop.time() - started_s
+            is_free = self._link_access.is_only_copy and took_s <= idle_link_s
             if took_s <= QUICK_COPY_S or is_free or loop.time() >= stop_by_s:
                 return
 
-    def _copy_s(self, target: Upstream) -> float:
-        """Return how long the whole copy takes over a free link."""
-        is_near = self._source.failure_domain == target.failure_domain
-        tokens = self._turn.tokens or self._job.tokens
-        return copy_s(self._job.traits, tokens, is_near)
+    def _full_copy_s(self, target: Upstream) -> float:
+        """Return how long a full copy takes over an idle link."""
+        is_same_domain = self._source.failure_domain == target.failure_domain
+        tokens = self._link_access.tokens or self._job.tokens
+        return estimate_copy_s(self._job.traits, tokens, is_same_domain)
 
-    def _log(self, target: Upstream, how: str) -> None:
+    def _log(self, target: Upstream, progress: str) -> None:
         log.bind(
             request=self._job.request_id,
             upstream=self._source.name,
             target=target.name,
             tokens=self._job.tokens,
-        ).info("move: {}", how)
+        ).info("move: {}", progress)
--- /dev/null
+++ b/src/balsamlift/relay/_move_reservation.py
@@ -0,0 +1,75 @@
+"""Reserve memory for generations that leave an engine at the same time.
+
+When an engine gives notice, the hosts of all its generations look for another
+engine at once and choose the same one. Reservations become known to the other
+hosts some milliseconds later, so each is checked again after that time. If
+the engine is overcommitted, every host that sees this releases its
+reservation and chooses again after a random delay.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Collection
+
+from balsamlift.relay._job import Job
+from balsamlift.relay._rooms import Holding
+from balsamlift.relay._tools import Tools
+
+# Generations that leave an engine may fill another one further than new ones:
+# they are lost without memory, whereas new ones can be retried. The engine
+# refuses what does not actually fit.
+MOVE_FILL_LIMIT = 1.1
+# Time until the counts of hosts that chose simultaneously are known.
+SETTLE_S = 0.03
+# Maximum random delay before choosing again, so that hosts which released the
+# same engine return one at a time.
+MAX_RETRY_DELAY_S = 0.15
+# After this many conflicts, the next reservation is kept unchecked: time for
+# the copy runs out, and the engine itself refuses what does not fit.
+MAX_CONFLICTS = 4
+
+
+async def reserve_for_move(
+    tools: Tools, job: Job, near_domain: str, tried: Collection[str]
+) -> Holding | None:
+    """Reserve memory that is not overcommitted; None if there is none.
+
+    Prefers the failure domain `near_domain` and excludes engines in `tried`.
+    """
+    max_load = job.traits.memory_tokens * MOVE_FILL_LIMIT
+    for _ in range(MAX_CONFLICTS):
+        holding = await _reserve_best(tools, job, near_domain, tried)
+        if holding is None:
+            return None
+        if tools.balancer.load(holding.upstream.name) <= max_load:
+            return holding
+        holding.release()
+        await asyncio.sleep(tools.rng.uniform(0.0, MAX_RETRY_DELAY_S))
+    return await _reserve_best(tools, job, near_domain, tried)
+
+
+async def _reserve_best(
+    tools: Tools, job: Job, near_domain: str, tried: Collection[str]
+) -> Holding | None:
+    """Reserve the best engine and wait until other reservations are known."""
+    balancer = tools.balancer
+    await balancer.refresh()
+    upstream = tools.rooms.find(
+        job.scope,
+        job.traits,
+        job.tokens,
+        tried,
+        near_domain=near_domain,
+        filled_part=MOVE_FILL_LIMIT,
+    )
+    if upstream is None:
+        return None
+    holding = tools.rooms.reserve(upstream, job.tokens)
+    try:
+        await asyncio.sleep(SETTLE_S)
+        await balancer.refresh()
+    except asyncio.CancelledError:
+        holding.release()
+        raise
+    return holding
--- a/src/balsamlift/relay/_needs.py
+++ b/src/balsamlift/relay/_needs.py
@@ -1,4 +1,4 @@
-"""How much memory of an engine a generation will take."""
+"""Estimate how much engine memory a generation will use."""
 
 from __future__ import annotations
 
@@ -7,50 +7,51 @@
 
 from balsamlift.relay._wire import HeaderNames
 
-# A typical answer has this part of the tokens that it may have at most, and
-# its caller's estimate this weight beside it, in logarithms.
-TYPICAL_PART = 1 / 3
+# A typical answer uses this fraction of its maximum number of tokens. The
+# caller's length hint is combined with it with this weight, on a logarithmic
+# scale.
+TYPICAL_FRACTION = 1 / 3
 HINT_WEIGHT = 0.2
-# The mean of such lengths lies above the typical one.
+# The mean of these lengths is higher than the typical length.
 MEAN_FACTOR = 1.12
-# Where no bound is told, the estimate stands alone, with this much on top.
+# Without a maximum, only the hint is used, increased by this factor.
 HINT_MARGIN = 1.3
 
 
 @attrs.frozen
 class Need:
-    """Hold the tokens of a prompt and of the answer to expect."""
+    """The prompt tokens and expected output tokens of a generation."""
 
     prompt_tokens: int
     output_tokens: int  # expected
-    most_output_tokens: int
+    max_output_tokens: int
 
     @property
     def tokens(self) -> int:
-        """Return the memory to expect at the end."""
+        """Return the memory expected to be in use when it ends."""
         return self.prompt_tokens + self.output_tokens
 
 
 def read_need(headers: HTTPHeaders, names: HeaderNames) -> Need:
-    """Return what a caller's headers say; zeros where they say nothing."""
-    prompt, _, most = headers.get(names.token_usage, "").partition(",")
-    prompt_tokens = _number(prompt)
-    most_output = _number(most)
-    hint = _number(headers.get(names.length_hint, ""))
-    expected = _expect_output(hint, most_output)
-    return Need(prompt_tokens, expected, most_output)
-
-
-def _expect_output(hint: int, most: int) -> int:
-    """Return the tokens to expect; `hint` and `most` are 0 if not told."""
-    if not most:
+    """Return the estimate from a caller's headers; 0 where they are absent."""
+    prompt, _, limit = headers.get(names.token_usage, "").partition(",")
+    prompt_tokens = _parse_count(prompt)
+    max_output = _parse_count(limit)
+    hint = _parse_count(headers.get(names.length_hint, ""))
+    output_tokens = _estimate_output(hint, max_output)
+    return Need(prompt_tokens, output_tokens, max_output)
+
+
+def _estimate_output(hint: int, limit: int) -> int:
+    """Return the expected tokens; `hint` and `limit` are 0 if absent."""
+    if not limit:
         return int(hint * HINT_MARGIN)
-    typical = most * TYPICAL_PART
+    typical = limit * TYPICAL_FRACTION
     if hint:
         typical *= (hint / typical) ** HINT_WEIGHT
-    return min(round(typical * MEAN_FACTOR), most)
+    return min(round(typical * MEAN_FACTOR), limit)
 
 
-def _number(text: str) -> int:
+def _parse_count(text: str) -> int:
     text = text.strip()
     return int(text) if text.isdecimal() else 0
--- a/src/balsamlift/relay/_placing.py
+++ b/src/balsamlift/relay/_placing.py
@@ -1,4 +1,4 @@
-"""What decides which engine a generation gets: named settings."""
+"""Parameters for choosing the engine of a generation."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 @attrs.frozen(kw_only=True)
 class PlacingPolicy:
-    """Weigh what is known of an engine, as parts of its memory."""
+    """Hold limits and weights, as fractions of an engine's memory."""
 
-    # Memory that is given out, by what generations are expected to have at
-    # their ends: they do not all end at once.
+    # Limit for the memory that generations are expected to use by the time
+    # they end. All of it may be given out: they do not all end at once.
     filled_part: float = 1.0
-    # Prompts that wait to be read weigh this much more than memory in use:
-    # they hold up the first token of whatever comes after them.
+    # Weight of unprocessed prompt tokens relative to memory in use: they
+    # delay the first token of every request that follows.
     prefill_weight: float = 1.5
-    # How much more memory in use elsewhere outweighs the bytes between
-    # failure domains.
-    other_domain_part: float = 0.05
-    # The same for what leaves an engine: copies between failure domains take
-    # twice as long, of the little time that there is.
-    copy_part: float = 1.0
-    # Hosts that do not know what the others have placed all see the same
-    # engine as the emptiest. The better of so many at random spreads their
-    # work.
-    drawn_blindly: int = 2
+    # Cost of another failure domain: the difference in memory use that
+    # outweighs the traffic between failure domains.
+    cross_domain_cost: float = 0.05
+    # Same for moves off a leaving engine: copies between failure domains take
+    # twice as long, and the time left is short.
+    cross_domain_copy_cost: float = 1.0
+    # Engines sampled at random if the other hosts' counts are outdated. Hosts
+    # would all choose the same least loaded engine; choosing the better of a
+    # few random ones spreads their work.
+    uninformed_sample_size: int = 2
 
 
-STANDARD = PlacingPolicy()
+DEFAULT_POLICY = PlacingPolicy()
--- a/src/balsamlift/relay/_retries.py
+++ b/src/balsamlift/relay/_retries.py
@@ -1,4 +1,4 @@
-"""Bound what all hosts together send a service more than once."""
+"""Limit the retries that all hosts together send to a service."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from balsamlift.clock import Clock
 
-# Part of the budget given out: hosts join and leave while a window lasts,
-# and each divides by the number of hosts that it knows.
-USED_PART = 0.7
+# Fraction of the budget that is used. The rest is a reserve: hosts join and
+# leave during a window, and each divides by the number of hosts it knows.
+USED_FRACTION = 0.7
 
 
 @attrs.frozen(kw_only=True)
 class RetryLimits:
-    """Hold the budget of all hosts together, per service and window."""
+    """The retry budget of all hosts together, per service and window."""
 
-    ratio: float  # of the requests in the window
-    extra: int  # besides, however few the requests
+    ratio: float  # retries per request in the window
+    extra: int  # retries allowed in addition, regardless of requests
     window_s: float
 
 
@@ -27,7 +27,7 @@
     """Count requests and retries of one service in a sliding window."""
 
     def __init__(self, window_s: float) -> None:
-        """Begin with none."""
+        """Start with an empty window."""
         self._window_s = window_s
         self._requests: deque[float] = deque()
         self._retries: deque[float] = deque()
@@ -49,16 +49,16 @@
 
 
 class Retries:
-    """Allow retries: a share of this host's requests and of the extra.
+    """Allow retries from this host's requests and its share of the extra.
 
-    A host that has just started may follow one that spent its share within
-    the window: it takes no part of the extra until a window has passed.
+    A host that has just started may replace one that spent its share within
+    the window, so it gets no share of the extra until a window has passed.
     """
 
     def __init__(
         self, limits: RetryLimits, hosts: Callable[[], int], clock: Clock
     ) -> None:
-        """Share the extra with `hosts()` hosts, this one included."""
+        """Share the extra among `hosts()` hosts, including this one."""
         self._limits = limits
         self._hosts = hosts
         self._clock = clock
@@ -70,7 +70,7 @@
         self._window(service).add_request(self._clock.monotonic())
 
     def spend(self, service: str) -> bool:
-        """Take one retry, if there is one left."""
+        """Spend one retry if the budget allows it; return whether it did."""
         now_s = self._clock.monotonic()
         window = self._window(service)
         requests, retries = window.counts(now_s)
@@ -84,7 +84,7 @@
         allowed = requests * limits.ratio
         if now_s - self._started_s >= limits.window_s:
             allowed += limits.extra / max(self._hosts(), 1)
-        return allowed * USED_PART
+        return allowed * USED_FRACTION
 
     def _window(self, service: str) -> _Window:
         window = self._windows.get(service)
--- a/src/balsamlift/relay/_rooms.py
+++ b/src/balsamlift/relay/_rooms.py
@@ -1,4 +1,4 @@
-"""Find engines with room for generations; let the rest wait in order."""
+"""Reserve engine memory for generations and queue those that must wait."""
 
 from __future__ import annotations
 
@@ -11,72 +11,72 @@
 from balsamlift.peers import Upstream
 from balsamlift.relay._balance import Balancer, backup_key, prefill_key
 from balsamlift.relay._configuration import EngineTraits
-from balsamlift.relay._placing import STANDARD, PlacingPolicy
+from balsamlift.relay._placing import DEFAULT_POLICY, PlacingPolicy
 from balsamlift.relay._scope import Scope
 
-# An engine that is filled beyond this keeps no backups: they take the links
-# between engines from moves.
-BACKUP_FILLED_PART = 0.5
-# No engine keeps any while those of the pool together are filled beyond this:
-# one that has just come up would be sent backups of all.
-BACKUP_POOL_FILLED_PART = 0.6
+# Fill level above which an engine stores no backups: copying them would
+# delay moves on the links between engines.
+BACKUP_FILL_LIMIT = 0.5
+# Fill level of a pool above which none of its engines stores backups: an
+# engine that has just started would receive the backups of all the others.
+BACKUP_POOL_FILL_LIMIT = 0.6
 
 
 @attrs.define(eq=False)
-class _Waiting:
-    """Hold one generation that found no room."""
+class _WaitingRequest:
+    """Hold a generation that waits for memory."""
 
     scope: Scope
     traits: EngineTraits
     tokens: int
     tried: Collection[str]
-    placed: asyncio.Future[Holding | None]
+    granted: asyncio.Future[Holding | None]
 
 
 class Holding:
-    """Hold memory of one engine at a time for one generation."""
+    """A reservation of one engine's memory for one generation."""
 
     def __init__(
         self,
         balancer: Balancer,
         upstream: Upstream,
         tokens: int,
-        name: Callable[[str], str] = str,
+        key: Callable[[str], str] = str,
     ) -> None:
-        """Hold it from here on, counted under `name` of the engine's."""
+        """Reserve the memory, counted under the key `key(upstream)`."""
         self._balancer = balancer
-        self._name = name
+        self._key = key
         self.upstream = upstream
         self.tokens = tokens
-        balancer.add(name(upstream.name), tokens)
-        balancer.tell()
+        balancer.add(key(upstream.name), tokens)
+        balancer.publish()
 
     def move(self, upstream: Upstream) -> None:
-        """Hold as much of another engine instead."""
-        self._balancer.add(self._name(upstream.name), self.tokens)
-        self._balancer.add(self._name(self.upstream.name), -self.tokens)
-        self._balancer.tell()
+        """Reserve the same amount on another engine instead."""
+        self._balancer.add(self._key(upstream.name), self.tokens)
+        self._balancer.add(self._key(self.upstream.name), -self.tokens)
+        self._balancer.publish()
         self.upstream = upstream
 
     def release(self) -> None:
-        """Give the memory back, once."""
+        """Release the memory; further calls have no effect."""
         tokens, self.tokens = self.tokens, 0
         if tokens:
-            self._balancer.add(self._name(self.upstream.name), -tokens)
-            self._balancer.tell()
+            self._balancer.add(self._key(self.upstream.name), -tokens)
+            self._balancer.publish()
 
 
 class Rooms:
-    """Give out the memory of engines, the most urgent first."""
+    """Allocate engine memory to generations in order of priority."""
 
     def __init__(
-        self, balancer: Balancer, policy: PlacingPolicy = STANDARD
+        self, balancer: Balancer, policy: PlacingPolicy = DEFAULT_POLICY
     ) -> None:
-        """Count memory as `balancer` does, in tokens."""
+        """Count memory in tokens, through `balancer`."""
         self._balancer = balancer
         self._policy = policy
-        self._waiting: list[tuple[tuple[int, int], _Waiting]] = []
-        self._numbers = itertools.count()
+        self._waiting: list[tuple[tuple[int, int], _WaitingRequest]] = []
+        self._sequence = itertools.count()
         balancer.on_release(self.look)
 
     def find(
@@ -85,66 +85,67 @@
         traits: EngineTraits,
         tokens: int,
         tried: Collection[str] = (),
-        near: str = "",
+        near_domain: str = "",
         filled_part: float | None = None,
     ) -> Upstream | None:
-        """Return the engine with the most room for `tokens`, if any has.
+        """Return the best engine with memory for `tokens`, if there is one.
 
-        Prefers the failure domain `near`; by default that of this host.
-        Fills an engine up to `filled_part` of its memory, or as the policy
-        says.
+        Prefers the failure domain `near_domain`, which defaults to that of
+        this host. Fills an engine up to the fraction `fill_limit` of its
+        memory, which defaults to that of the policy.
         """
         if filled_part is None:
             filled_part = self._policy.filled_part
-        most = traits.memory_tokens * filled_part - tokens
+        max_load = traits.memory_tokens * filled_part - tokens
         fitting = [
             u
             for u in self._balancer.usable(scope, tried)
-            if self._balancer.load(u.name) <= most
+            if self._balancer.load(u.name) <= max_load
         ]
         if not fitting:
             return None
-        drawn = self._balancer.draw(fitting, self._most_drawn())
-        return min(drawn, key=lambda u: self._cost(u, traits, near))
+        sampled = self._balancer.sample(fitting, self._sample_size())
+        return min(sampled, key=lambda u: self._cost(u, traits, near_domain))
 
-    def _most_drawn(self) -> int | None:
-        """Return of how many engines the best is taken; None: of all."""
+    def _sample_size(self) -> int | None:
+        """Return how many random engines to compare; None for all."""
         basis = self._balancer.counts_basis
         if basis in ("old", "scaled"):
-            return self._policy.drawn_blindly
+            return self._policy.uninformed_sample_size
         return None
 
-    def hold(self, upstream: Upstream, tokens: int) -> Holding:
-        """Hold memory of an engine for what is sent there now."""
+    def reserve(self, upstream: Upstream, tokens: int) -> Holding:
+        """Reserve memory of an engine for a request to be sent there now."""
         self._balancer.sending(upstream)
         return Holding(self._balancer, upstream, tokens)
 
-    def hold_backup(
+    def reserve_backup(
         self,
         scope: Scope,
         source: Upstream,
         traits: EngineTraits,
         tokens: int,
     ) -> Holding | None:
-        """Hold room for a copy of what runs at `source`, if there is any.
+        """Reserve memory for a backup of a generation on `source`.
 
-        Backups take what generations leave, and give way to them: they
-        count for other backups only.
+        Returns None if there is no memory for it. Backups use memory that
+        generations leave free and give way to them: they are counted
+        separately and limit only other backups.
         """
         others = self._balancer.usable(scope, {source.name})
-        filled = sum(self._filled(u) for u in others)
-        room = traits.memory_tokens * len(others)
-        if filled + tokens > room * BACKUP_POOL_FILLED_PART:
+        reserved = sum(self._reserved_tokens(u) for u in others)
+        capacity = traits.memory_tokens * len(others)
+        if reserved + tokens > capacity * BACKUP_POOL_FILL_LIMIT:
             return None
-        most = traits.memory_tokens * BACKUP_FILLED_PART - tokens
-        fitting = [u for u in others if self._filled(u) <= most]
+        max_load = traits.memory_tokens * BACKUP_FILL_LIMIT - tokens
+        fitting = [u for u in others if self._reserved_tokens(u) <= max_load]
         if not fitting:
             return None
-        # A backup has the time of the whole generation to be copied.
-        upstream = min(fitting, key=self._filled)
+        # Backups are copied over the whole run, so distance hardly matters.
+        upstream = min(fitting, key=self._reserved_tokens)
         return Holding(self._balancer, upstream, tokens, backup_key)
 
-    def _filled(self, upstream: Upstream) -> int:
+    def _reserved_tokens(self, upstream: Upstream) -> int:
         load = self._balancer.load
         return load(upstream.name) + load(backup_key(upstream.name))
 
@@ -156,10 +157,10 @@
         priority: int,
         tried: Collection[str] = (),
     ) -> Holding | None:
-        """Hold `tokens` of an engine, as soon as one has room.
+        """Reserve `tokens` of memory as soon as an engine has it free.
 
         A request that is larger than an engine waits for an empty one.
-        Returns None, at once, where evacuations leave no engine for it.
+        Returns None immediately if evacuations leave no engine for it.
         """
         if self._balancer.is_closed(scope):
             return None
@@ -169,65 +170,71 @@
         if not self._must_wait(scope, priority):
             upstream = self.find(scope, traits, tokens, tried)
             if upstream is not None:
-                return self.hold(upstream, tokens)
-        placed: asyncio.Future[Holding | None] = (
+                return self.reserve(upstream, tokens)
+        granted: asyncio.Future[Holding | None] = (
             asyncio.get_running_loop().create_future()
         )
-        entry = _Waiting(scope, traits, tokens, tried, placed)
-        place = ((priority, next(self._numbers)), entry)
-        self._waiting.append(place)
+        entry = _WaitingRequest(scope, traits, tokens, tried, granted)
+        queued = ((priority, next(self._sequence)), entry)
+        self._waiting.append(queued)
         self._waiting.sort(key=lambda item: item[0])
         try:
-            return await placed
+            return await granted
         except asyncio.CancelledError:
-            if placed.done() and not placed.cancelled():
-                holding = placed.result()
+            if granted.done() and not granted.cancelled():
+                holding = granted.result()
                 if holding is not None:
                     holding.release()
             raise
         finally:
-            if place in self._waiting:
-                self._waiting.remove(place)
+            if queued in self._waiting:
+                self._waiting.remove(queued)
 
     @property
     def waiting(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting generations."""
         return len(self._waiting)
 
     def look(self) -> None:
-        """Place those that wait, in order, as far as there is room."""
+        """Place waiting generations in order of priority."""
         blocked: set[Scope] = set()
-        for place in list(self._waiting):
-            entry = place[1]
-            if entry.scope in blocked or entry.placed.done():
+        for queued in list(self._waiting):
+            entry = queued[1]
+            if entry.scope in blocked or entry.granted.done():
                 continue
             upstream = self.find(
                 entry.scope, entry.traits, entry.tokens, entry.tried
             )
             if upstream is not None:
-                self._waiting.remove(place)
-                entry.placed.set_result(self.hold(upstream, entry.tokens))
+                self._waiting.remove(queued)
+                entry.granted.set_result(self.reserve(upstream, entry.tokens))
             elif self._balancer.is_closed(entry.scope):
-                self._waiting.remove(place)
-                entry.placed.set_result(None)
+                self._waiting.remove(queued)
+                entry.granted.set_result(None)
             else:
-                # Smaller work behind it must not starve it.
+                # Smaller requests behind it must not starve it.
                 blocked.add(entry.scope)
 
     def _must_wait(self, scope: Scope, priority: int) -> bool:
         return any(
-            entry.scope == scope and place[0] <= priority
-            for place, entry in self._waiting
+            entry.scope == scope and queued[0] <= priority
+            for queued, entry in self._waiting
         )
 
     def _cost(
-        self, upstream: Upstream, traits: EngineTraits, near: str
+        self, upstream: Upstream, traits: EngineTraits, near_domain: str
     ) -> float:
         policy = self._policy
-        load = self._filled(upstream) / traits.memory_tokens
-        unread = self._balancer.load(prefill_key(upstream.name))
-        load += unread / traits.memory_tokens * policy.prefill_weight
+        load = self._reserved_tokens(upstream) / traits.memory_tokens
+        pending_prefill = self._balancer.load(prefill_key(upstream.name))
+        load += pending_prefill / traits.memory_tokens * policy.prefill_weight
         failures = self._balancer.failure_share(upstream.name)
-        part = policy.copy_part if near else policy.other_domain_part
-        domain = self._balancer.domain_cost(upstream, near) * part
+        domain_weight = (
+            policy.cross_domain_copy_cost
+            if near_domain
+            else policy.cross_domain_cost
+        )
+        domain = (
+            self._balancer.domain_cost(upstream, near_domain) * domain_weight
+        )
         return load + failures + domain
--- a/src/balsamlift/relay/_scope.py
+++ b/src/balsamlift/relay/_scope.py
@@ -1,4 +1,4 @@
-"""Which upstreams may serve a call."""
+"""Restrict which upstreams may serve a call."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 @attrs.frozen
 class Scope:
-    """Bound where a call may run, by what the configuration says of it."""
+    """The pool and the regions in which a call may run."""
 
     pool: str
-    regions: frozenset[str] | None = None  # None: any
+    regions: frozenset[str] | None = None  # None: any region
 
     def allows(self, region: str) -> bool:
-        """Tell whether upstreams of that region may run it."""
+        """Tell whether upstreams in `region` may run the call."""
         return self.regions is None or region in self.regions
 
 
-def bound_regions(*homes: frozenset[str]) -> frozenset[str] | None:
-    """Return the regions that all of these allow; an empty one allows any.
+def bound_regions(*restrictions: frozenset[str]) -> frozenset[str] | None:
+    """Return the regions permitted by every restriction.
 
-    The route and the workspace of a call each bind it. Returns None where
-    neither does.
+    The route and the workspace of a call may each restrict its regions. An
+    empty set is no restriction; returns None if all are empty.
     """
     bound: frozenset[str] | None = None
-    for regions in homes:
+    for regions in restrictions:
         if regions:
             bound = regions if bound is None else bound & regions
     return bound
--- /dev/null
+++ b/src/balsamlift/relay/_shared_health.py
@@ -0,0 +1,239 @@
+"""Share observations of failing upstreams between hosts.
+
+Each host publishes its latest observation of an upstream for a limited time,
+together with its load counts. An upstream that fails every request
+immediately has no calls in flight and would be preferred by every host;
+without shared observations, each host would lose a request to find that out.
+"""
+
+from __future__ import annotations
+
+import functools
+from collections.abc import Callable, Collection
+
+import attrs
+from loguru import logger
+
+from balsamlift.peers import Place
+
+log = logger.bind(part="upstreams")
+
+# Lifetime of an observed failure; doubled if it soon follows other failures
+# of the same upstream.
+FAILURE_TTL_S = 4.0
+MAX_FAILURE_TTL_S = 16.0
+SUCCESS_TTL_S = 1.5  # shorter: it may have failed since
+# Duration of the probation that begins with a failure.
+PROBATION_S = 30.0
+# Number of hosts that send to an upstream on probation until it serves one.
+PROBATION_HOSTS = 4
+# Failures seen by a single host may be caused by that host.
+MIN_FAILING_HOSTS = 2
+# A host for which this many upstreams failed, without a success in between,
+# is considered faulty itself and reports no failures until one succeeds.
+LOCAL_FAULT_FAILURES = 2
+# If a larger part of a pool is reported as failing, the cause is elsewhere
+# and no upstream is avoided.
+MAX_AVOIDED_FRACTION = 0.5
+# Maximum failure share of an upstream that only one host reports as failing.
+SINGLE_HOST_FAILURE_SHARE = 0.5
+
+
+def failing_key(upstream: str) -> str:
+    """Return the key that counts hosts that saw an upstream fail last."""
+    return f"{upstream}/failing"
+
+
+def serving_key(upstream: str) -> str:
+    """Return the key that counts hosts that it served last."""
+    return f"{upstream}/serving"
+
+
+def probation_key(upstream: str) -> str:
+    """Return the key that counts hosts that have it on probation."""
+    return f"{upstream}/trial"
+
+
+@attrs.frozen
+class HealthReports:
+    """The number of hosts that report each state of an upstream."""
+
+    failing: int
+    serving: int
+    on_probation: int  # saw it fail, perhaps too long ago to count as failing
+
+    @property
+    def failure_share(self) -> float:
+        """Return the fraction of reporting hosts that see it fail."""
+        if not self.failing:
+            return 0.0
+        share = self.failing / (self.failing + self.serving)
+        if self.failing < MIN_FAILING_HOSTS:
+            return min(share, SINGLE_HOST_FAILURE_SHARE)
+        return share
+
+
+def should_avoid(reports: HealthReports, place: Callable[[], Place]) -> bool:
+    """Tell whether a host at `place` must not send to an upstream."""
+    if max(reports.failing, reports.on_probation) < MIN_FAILING_HOSTS:
+        return False
+    if reports.failing:
+        return reports.failing > reports.serving
+    return not reports.serving and place().position >= PROBATION_HOSTS
+
+
+@attrs.define
+class _Observation:
+    """Hold this host's latest observation of one upstream."""
+
+    is_failing: bool
+    observed_s: float
+    ttl_s: float
+
+    def is_current(self, now_s: float) -> bool:
+        """Tell whether the observation has not expired yet."""
+        return now_s <= self.observed_s + self.ttl_s
+
+    def is_on_probation(self, now_s: float) -> bool:
+        """Tell whether it keeps the upstream on probation."""
+        return self.is_failing and now_s <= self.observed_s + PROBATION_S
+
+
+class SharedHealth:
+    """Publish this host's observations and combine those of all hosts."""
+
+    def __init__(
+        self,
+        set_count: Callable[[str, int], None],
+        publish_counts: Callable[[], None],
+        others_count: Callable[[str], int],
+        place_for: Callable[[str], Place],
+    ) -> None:
+        """Set counts by `set_count` and send them by `publish_counts`.
+
+        `others_count` returns the sum of the other hosts' counts of a key;
+        `place_for` returns this host's place in the order of hosts for an
+        upstream.
+        """
+        self._set_count = set_count
+        self._publish_counts = publish_counts
+        self._others_count = others_count
+        self._place_for = place_for
+        self._observations: dict[str, _Observation] = {}
+        self._published: frozenset[str] = frozenset()
+        self._failed_since_success: set[str] = set()
+        self._avoided: set[str] = set()  # as last logged
+
+    def record(self, upstream: str, now_s: float, *, is_failing: bool) -> None:
+        """Record the result of a request; publish failures immediately."""
+        ttl_s = SUCCESS_TTL_S
+        if not is_failing:
+            self._failed_since_success.clear()
+        else:
+            self._failed_since_success.add(upstream)
+            ttl_s = self._failure_ttl_s(upstream)
+        self._observations[upstream] = _Observation(is_failing, now_s, ttl_s)
+        if self._publish(now_s) and is_failing:
+            self._publish_counts()
+
+    def _failure_ttl_s(self, upstream: str) -> float:
+        """Return the lifetime of a failure that is observed now."""
+        before = self._observations.get(upstream)
+        if before is not None and before.is_failing:
+            return min(before.ttl_s * 2, MAX_FAILURE_TTL_S)
+        if self._others_count(probation_key(upstream)) >= MIN_FAILING_HOSTS:
+            return FAILURE_TTL_S * 2
+        return FAILURE_TTL_S
+
+    def expire(self, now_s: float, live: Collection[str]) -> None:
+        """Discard expired observations and those of unlisted upstreams."""
+        for name, observation in list(self._observations.items()):
+            is_needed = observation.is_current(now_s) or self._is_on_probation(
+                name, now_s
+            )
+            if not is_needed or name not in live:
+                del self._observations[name]
+        self._avoided &= set(live)
+        self._publish(now_s)
+
+    def _is_on_probation(self, name: str, now_s: float) -> bool:
+        """Tell whether a failure still keeps an upstream on probation.
+
+        Probation ends early once the upstream serves hosts and fails none.
+        """
+        reports = self.reports(name)
+        is_recovered = reports.serving and not reports.failing
+        return (
+            self._observations[name].is_on_probation(now_s)
+            and not is_recovered
+        )
+
+    def reports(self, upstream: str) -> HealthReports:
+        """Return the reports of all hosts about an upstream."""
+        return HealthReports(
+            self._count(failing_key(upstream)),
+            self._count(serving_key(upstream)),
+            self._count(probation_key(upstream)),
+        )
+
+    def avoided(self, pool: Collection[str]) -> set[str]:
+        """Return the upstreams of a pool that this host must not use now."""
+        # A host that sees an upstream fail also has it on probation, so one
+        # lookup is enough to skip most upstreams.
+        avoided = {
+            name
+            for name in pool
+            if self._count(probation_key(name)) >= MIN_FAILING_HOSTS
+            and should_avoid(
+                self.reports(name), functools.partial(self._place_for, name)
+            )
+        }
+        if len(avoided) > len(pool) * MAX_AVOIDED_FRACTION:
+            avoided = set()
+        self._log_changes(pool, avoided)
+        return avoided
+
+    def _log_changes(self, pool: Collection[str], avoided: set[str]) -> None:
+        before = self._avoided & set(pool)
+        for name in avoided ^ before:
+            reports = self.reports(name)
+            log.bind(
+                upstream=name,
+                hosts_failing=reports.failing,
+                hosts_serving=reports.serving,
+                hosts_careful=reports.on_probation,
+            ).info("avoided" if name in avoided else "avoided no more")
+        self._avoided = (self._avoided - before) | avoided
+
+    def _count(self, key: str) -> int:
+        return self._others_count(key) + (key in self._published)
+
+    def _publish(self, now_s: float) -> bool:
+        """Set the current counts; return whether they have changed."""
+        wanted = self._current_keys(now_s)
+        for key in self._published - wanted:
+            self._set_count(key, 0)
+        for key in wanted - self._published:
+            self._set_count(key, 1)
+        has_changed = wanted != self._published
+        self._published = wanted
+        return has_changed
+
+    def _current_keys(self, now_s: float) -> frozenset[str]:
+        serving: set[str] = set()
+        failing: set[str] = set()
+        on_probation: set[str] = set()
+        for name, observation in self._observations.items():
+            if observation.is_current(now_s):
+                (failing if observation.is_failing else serving).add(name)
+            if observation.is_on_probation(now_s):
+                on_probation.add(name)
+        if len(self._failed_since_success) >= LOCAL_FAULT_FAILURES:
+            failing, on_probation = set(), set()
+        return frozenset(
+            (
+                *map(failing_key, failing),
+                *map(serving_key, serving),
+                *map(probation_key, on_probation),
+            )
+        )
--- a/tests/test_relay_cold_starts.py
+++ b/tests/test_relay_cold_starts.py
@@ -1,4 +1,4 @@
-"""What a cold upstream gets in any second, from all hosts together."""
+"""Limit of the requests that all hosts send to a cold upstream per second."""
 
 import asyncio
 import random
@@ -13,8 +13,8 @@
 from balsamlift.peers._readers import find_place
 from balsamlift.relay import ColdLimits
 from balsamlift.relay._cold_starts import (
-    GROUPS,
-    START_S,
+    MEMBERSHIP_GROUPS,
+    STARTUP_S,
     ColdStarts,
     host_share,
 )
@@ -26,7 +26,7 @@
 )
 
 LIMITS = ColdLimits(factor=1.5, extra_per_s=5.0)
-MOST_LATE_S = 0.2  # between the choice of an upstream and the arrival there
+MAX_DELAY_S = 0.2  # from the choice of an upstream to the arrival there
 LENGTH_S = 8.0
 JOIN_FROM_S, JOIN_LENGTH_S = 6.0, 2.0
 
@@ -55,17 +55,21 @@
     return lambda host, now_s: [f"h{n}" for n in range(number)]
 
 
-def cut_into_groups(number: int) -> Views:
-    """Hosts that know only those on their own side."""
+def partitioned(number: int) -> Views:
+    """Hosts in partitions, which know only hosts in the same one."""
 
     def view(host: int, now_s: float) -> list[str]:
-        return [f"h{n}" for n in range(number) if n % GROUPS == host % GROUPS]
+        return [
+            f"h{n}"
+            for n in range(number)
+            if n % MEMBERSHIP_GROUPS == host % MEMBERSHIP_GROUPS
+        ]
 
     return view
 
 
-def half_join(number: int) -> Views:
-    """Half of the hosts are new, and known to others one by one."""
+def half_joining(number: int) -> Views:
+    """Half of the hosts are new, and become known one after the other."""
 
     def view(host: int, now_s: float) -> list[str]:
         joined = max(now_s - JOIN_FROM_S, 0.0) / JOIN_LENGTH_S
@@ -75,18 +79,18 @@
     return view
 
 
-@pytest.mark.parametrize("views", [all_hosts, cut_into_groups, half_join])
+@pytest.mark.parametrize("views", [all_hosts, partitioned, half_joining])
 @pytest.mark.parametrize("tolerated_per_s", [0.0, 3.0, 27.0])
 @pytest.mark.parametrize("hosts", [8, 87, 195])
-def test_all_hosts_together_keep_the_bound(
+def test_all_hosts_together_stay_within_the_limit(
     hosts: int, tolerated_per_s: float, views: Callable[[int], Views]
 ) -> None:
-    """Each host would send all that it has to the emptiest upstream."""
+    """Without a limit, all hosts would send to the least loaded upstream."""
     rng = random.Random(5)
     view = views(hosts)
     arrived: list[float] = []
 
-    async def play(number: int) -> None:
+    async def run_host(number: int) -> None:
         loop = asyncio.get_running_loop()
         own = f"h{number}"
 
@@ -98,56 +102,58 @@
             LIMITS, lambda pool: tolerated_per_s, place, LoopClock()
         )
         cold = upstream(cold_until_s=100.0)
-        while loop.time() < START_S + LENGTH_S:
+        while loop.time() < STARTUP_S + LENGTH_S:
             await asyncio.sleep(rng.expovariate(200 / hosts))
             if cold_starts.allows(cold):
                 cold_starts.sending(cold)
-                arrived.append(loop.time() + rng.uniform(0, MOST_LATE_S))
+                arrived.append(loop.time() + rng.uniform(0, MAX_DELAY_S))
 
     async def main() -> None:
-        await asyncio.gather(*(play(number) for number in range(hosts)))
+        await asyncio.gather(*(run_host(number) for number in range(hosts)))
 
     run_virtual(main)
-    bound = tolerated_per_s * LIMITS.factor + LIMITS.extra_per_s
+    limit = tolerated_per_s * LIMITS.factor + LIMITS.extra_per_s
     assert arrived
-    assert most_in_a_second(arrived) <= bound
+    assert most_in_a_second(arrived) <= limit
 
 
 @pytest.mark.parametrize("tolerated_per_s", [0.0, 1.0, 3.0, 27.0, 500.0])
 @pytest.mark.parametrize("hosts", [1, 8, 87, 195])
-def test_shares_add_up_to_what_a_group_may_send(
+def test_shares_add_up_to_the_limit_of_a_group(
     hosts: int, tolerated_per_s: float
 ) -> None:
     shares = [
         host_share(Place(position, hosts), tolerated_per_s, LIMITS)
         for position in range(hosts)
     ]
-    bound = tolerated_per_s * LIMITS.factor + LIMITS.extra_per_s
-    assert 1 <= sum(shares) <= max(bound / GROUPS, 1)
+    limit = tolerated_per_s * LIMITS.factor + LIMITS.extra_per_s
+    assert 1 <= sum(shares) <= max(limit / MEMBERSHIP_GROUPS, 1)
 
 
-def test_nothing_is_bound_without_limits_or_once_it_is_warm() -> None:
+def test_no_limit_applies_without_settings_or_once_warm() -> None:
     async def test() -> None:
         def place(subject: str) -> Place:
             return Place(0, 1)
 
         cold = upstream(cold_until_s=50.0)
-        free = ColdStarts(None, lambda pool: 0.0, place, LoopClock())
-        untold = ColdStarts(LIMITS, lambda pool: None, place, LoopClock())
-        bound = ColdStarts(LIMITS, lambda pool: 0.0, place, LoopClock())
-        assert free.allows(cold)
-        assert untold.allows(cold)
-        assert not bound.allows(cold)  # it does not know the others yet
-        await asyncio.sleep(START_S)
-        assert bound.allows(cold)
-        bound.sending(cold)
-        assert not bound.allows(cold)
+        unlimited = ColdStarts(None, lambda pool: 0.0, place, LoopClock())
+        without_tolerance = ColdStarts(
+            LIMITS, lambda pool: None, place, LoopClock()
+        )
+        limited = ColdStarts(LIMITS, lambda pool: 0.0, place, LoopClock())
+        assert unlimited.allows(cold)
+        assert without_tolerance.allows(cold)
+        assert not limited.allows(cold)  # other hosts are not known yet
+        await asyncio.sleep(STARTUP_S)
+        assert limited.allows(cold)
+        limited.sending(cold)
+        assert not limited.allows(cold)
         await asyncio.sleep(50.0)
         for _ in range(20):
-            assert bound.allows(cold)
-            bound.sending(cold)
-        again = upstream(cold_until_s=70.0)  # cold once more
-        assert not bound.allows(again)
+            assert limited.allows(cold)
+            limited.sending(cold)
+        again = upstream(cold_until_s=70.0)  # cold again
+        assert not limited.allows(again)
 
     run_virtual(test)
 
@@ -155,7 +161,7 @@
 @pytest.mark.parametrize(
     ("path", "pool"), [("/view/1", "plain"), ("/draft/1", "model")]
 )
-def test_work_goes_to_warm_upstreams_beyond_the_bound(
+def test_requests_beyond_the_limit_go_to_warm_upstreams(
     path: str, pool: str
 ) -> None:
     async def test() -> None:
@@ -172,11 +178,11 @@
             for n in range(6):
                 answer = await world.call(path, f"r{n}", headers=USAGE)
                 assert answer.status == 200
-            # This host has just started: none yet.
+            # This host has just started, so its share is 0.
             assert len(warm.arrivals) == 6
             assert not cold.arrivals
             cold.cold_ms, cold.written = 0, 1
-            while not world.relay._balancer._tolerates(
+            while not world.relay._balancer._allows_cold_start(
                 world.upstreams.find("i-1")
             ):
                 await asyncio.sleep(0.01)
@@ -187,9 +193,7 @@
     run(test())
 
 
-def test_an_upstream_is_warm_when_it_said_so_however_often_it_is_read() -> (
-    None
-):
+def test_rereading_an_upstream_does_not_extend_its_cold_start() -> None:
     async def test() -> None:
         (one,) = [ReplicaStandIn("i-1", "plain", NAMES)]
         one.cold_ms = 300
@@ -199,7 +203,7 @@
             assert began_s < until_s <= began_s + 0.3
             await asyncio.sleep(0.2)
             assert world.upstreams.find("i-1").cold_until_s == until_s
-            one.written = 1  # cold anew
+            one.written = 1  # cold again
             while world.upstreams.find("i-1").cold_until_s == until_s:
                 await asyncio.sleep(0.01)
             assert world.upstreams.find("i-1").cold_until_s > until_s
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -1,7 +1,7 @@
 """Each decision on a request is one log line; no line holds a key or a body.
 
-Every scenario below is played, and then each log call of the relay must have
-been reached by one of them: a new one needs a scenario here.
+Every log call of the relay must be reached by one of the scenarios below, so
+a new log call requires a new scenario.
 """
 
 import ast
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class Expected:
-    """What a scenario has to log: the text, and the fields with it."""
+    """The message and fields that a scenario must log."""
 
     scenario: Scenario
     text: str
@@ -94,14 +94,14 @@
     await world.call("/order/1", "r1", body=BODY)
 
 
-async def lost_and_repeated(
+async def broken_and_retried(
     world: RelayWorld, stand_ins: list[ReplicaStandIn]
 ) -> None:
     behave(stand_ins, reset)
     await world.call("/view/1", "r1", method="GET")
 
 
-async def late_and_repeated(
+async def slow_and_retried(
     world: RelayWorld, stand_ins: list[ReplicaStandIn]
 ) -> None:
     behave(stand_ins, hang)
@@ -117,7 +117,7 @@
     await world.call("/order/1", "r1", body=BODY)
 
 
-# Heads
+# Request heads
 
 
 async def large_head(world: RelayWorld, _: list[ReplicaStandIn]) -> None:
@@ -139,7 +139,7 @@
 # Generations
 
 
-async def begin(
+async def begin_generation(
     world: RelayWorld, stand_ins: list[ReplicaStandIn]
 ) -> tuple[asyncio.Task[Any], ReplicaStandIn]:
     behave(stand_ins, hang_midway)
@@ -151,8 +151,8 @@
     return calling, used
 
 
-def generation_with(how: Any) -> Scenario:
-    """Return a generation whose engines all behave so."""
+def generation_scenario(how: Any) -> Scenario:
+    """Return a scenario of a generation where all engines behave like this."""
 
     async def scenario(
         world: RelayWorld, stand_ins: list[ReplicaStandIn]
@@ -164,10 +164,10 @@
     return scenario
 
 
-generated = generation_with(stream)
-engines_refuse = generation_with(refuse)
-engines_reset = generation_with(reset)
-engines_repeat = generation_with(repeat)
+generated = generation_scenario(stream)
+engines_refuse = generation_scenario(refuse)
+engines_reset = generation_scenario(reset)
+engines_repeat = generation_scenario(repeat)
 
 
 async def no_room(world: RelayWorld, stand_ins: list[ReplicaStandIn]) -> None:
@@ -198,17 +198,19 @@
         await asyncio.sleep(0.01)
 
 
-async def goes_on_at_backup(
+async def resumed_at_backup(
     world: RelayWorld, stand_ins: list[ReplicaStandIn]
 ) -> None:
-    calling, used = await begin(world, stand_ins)
+    calling, used = await begin_generation(world, stand_ins)
     behave(stand_ins, stream)
     used.state = "leaving"
     await calling
 
 
-async def is_lost(world: RelayWorld, stand_ins: list[ReplicaStandIn]) -> None:
-    calling, used = await begin(world, stand_ins)
+async def engine_lost(
+    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+) -> None:
+    calling, used = await begin_generation(world, stand_ins)
     behave(stand_ins, refuse)
     for task in list(used.open):
         task.cancel()
@@ -216,7 +218,7 @@
 
 
 async def moved(world: RelayWorld, stand_ins: list[ReplicaStandIn]) -> None:
-    calling, used = await begin(world, stand_ins)
+    calling, used = await begin_generation(world, stand_ins)
     stopped = asyncio.Event()
     world.engines.on_stop.append(stopped)
 
@@ -239,7 +241,7 @@
 async def move_refused(
     world: RelayWorld, stand_ins: list[ReplicaStandIn]
 ) -> None:
-    calling, used = await begin(world, stand_ins)
+    calling, used = await begin_generation(world, stand_ins)
 
     async def copy(*_: object, **__: object) -> None:
         raise CopyRefusedError("model-0", "no room")
@@ -251,11 +253,11 @@
     calling.cancel()
 
 
-async def told_to_fail(
+async def reported_failing(
     world: RelayWorld, stand_ins: list[ReplicaStandIn]
 ) -> None:
-    words = {"model-0/failing": 2, "model-0/trial": 2}
-    world.peers._load.heard.take("another", words, full=True)
+    counts = {"model-0/failing": 2, "model-0/trial": 2}
+    world.peers._load.heard.take("another", counts, full=True)
     behave(stand_ins, stream)
     await world.call("/draft/1", headers=USAGE)
 
@@ -323,9 +325,9 @@
     Expected(answered, "answered 200", (*ENDED, "upstream", "sends")),
     Expected(answered, "configuration in force", IN_FORCE),
     Expected(newer_version_reported, "newer configuration reported", NEWER),
-    Expected(lost_and_repeated, "left alone: ", ("request", "out_ms")),
-    Expected(lost_and_repeated, "tries another", ("request", "sends")),
-    Expected(late_and_repeated, "left alone: no answer", ("request",)),
+    Expected(broken_and_retried, "left alone: ", ("request", "out_ms")),
+    Expected(broken_and_retried, "tries another", ("request", "sends")),
+    Expected(slow_and_retried, "left alone: no answer", ("request",)),
     Expected(budget_spent, "retry budget spent", ("request", "sends")),
     Expected(budget_spent, "upstreams full", ENDED),
     Expected(large_head, "head too large", ("status", "peer")),
@@ -347,12 +349,12 @@
     ),
     Expected(crashes_reported, "request crashes upstreams, not run", ENDED),
     Expected(engines_repeat, "", ("request",)),
-    Expected(told_to_fail, "avoided", ("upstream", "hosts_failing")),
+    Expected(reported_failing, "avoided", ("upstream", "hosts_failing")),
     Expected(no_room, "no room", ENDED),
     Expected(caller_leaves, "caller gone", ENDED),
-    Expected(goes_on_at_backup, "went on", ("request", "target", "event")),
-    Expected(is_lost, "could not go on", ("request", "target", "event")),
-    Expected(is_lost, "engine lost", ENDED),
+    Expected(resumed_at_backup, "went on", ("request", "target", "event")),
+    Expected(engine_lost, "could not go on", ("request", "target", "event")),
+    Expected(engine_lost, "engine lost", ENDED),
     Expected(moved, "move: begins", ("request", "target", "tokens")),
     Expected(moved, "move: copied", ("request", "target", "tokens")),
     Expected(move_refused, "move: ", ("request", "target", "tokens")),
@@ -367,10 +369,10 @@
 
 @cache
 def records(scenario: Scenario) -> list[dict[str, Any]]:
-    """Play a scenario; return what was logged meanwhile."""
+    """Run a scenario; return the log records it produced."""
     logged: list[dict[str, Any]] = []
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         async with asyncio.timeout(DEADLINE_S):
             stand_ins = make_stand_ins()
             async with RelayWorld(stand_ins) as world:
@@ -379,7 +381,7 @@
 
     number = logger.add(lambda m: logged.append(dict(m.record)), level=0)
     try:
-        asyncio.run(play())
+        asyncio.run(run_scenario())
     finally:
         logger.remove(number)
     return logged
@@ -388,7 +390,7 @@
 @pytest.mark.parametrize(
     "expected", EXPECTED, ids=lambda e: f"{e.scenario.__name__}-{e.text}"
 )
-def test_a_decision_is_logged_with_what_decided_it(expected: Expected) -> None:
+def test_a_decision_is_logged_with_its_context(expected: Expected) -> None:
     found = [
         record
         for record in records(expected.scenario)
@@ -402,7 +404,7 @@
 
 
 def log_calls() -> Iterator[tuple[str, range]]:
-    """Yield file and lines of each log call in the relay."""
+    """Yield the file name and line range of each log call in the relay."""
     for path in RELAY.glob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if (
--- a/tests/test_relay_directory.py
+++ b/tests/test_relay_directory.py
@@ -1,10 +1,10 @@
-"""Which hosts callers are told of."""
+"""Selection of the host addresses that callers receive."""
 
 import random
 
 import pytest
 
-from balsamlift.relay._directory import MOST_ADDRESSES, choose_addresses
+from balsamlift.relay._directory import MAX_ADDRESSES, choose_addresses
 
 
 def hosts(name: str, number: int) -> list[str]:
@@ -15,31 +15,31 @@
     ("near", "far", "expected"),
     [(0, 3, 3), (1, 3, 4), (2, 3, 2), (64, 100, 64), (0, 64, 64)],
 )
-def test_names_the_callers_own_failure_domain_where_that_is_enough(
+def test_lists_only_the_callers_failure_domain_if_sufficient(
     near: int, far: int, expected: int
 ) -> None:
     rng = random.Random(7)
-    named = choose_addresses(hosts("n", near), hosts("f", far), rng)
-    assert len(named) == expected
-    assert set(hosts("n", near)) <= set(named)
+    listed = choose_addresses(hosts("n", near), hosts("f", far), rng)
+    assert len(listed) == expected
+    assert set(hosts("n", near)) <= set(listed)
 
 
 @pytest.mark.parametrize(("near", "far"), [(90, 0), (0, 195), (1, 195)])
-def test_of_more_hosts_than_fit_each_gets_its_share(
+def test_hosts_are_listed_equally_often_if_not_all_fit(
     near: int, far: int
 ) -> None:
-    """Ten thousand callers: every host is named to about as many."""
+    """Over ten thousand answers, each host is listed about equally often."""
     rng = random.Random(7)
-    named = dict.fromkeys(hosts("n", near) + hosts("f", far), 0)
+    listed = dict.fromkeys(hosts("n", near) + hosts("f", far), 0)
     answers = 10_000
     for _ in range(answers):
         answer = choose_addresses(hosts("n", near), hosts("f", far), rng)
-        assert len(set(answer)) == MOST_ADDRESSES
+        assert len(set(answer)) == MAX_ADDRESSES
         for host in answer:
-            named[host] += 1
+            listed[host] += 1
     kept = near if near < 2 else 0
-    share = (MOST_ADDRESSES - kept) / (near + far - kept)
-    for host, number in named.items():
+    share = (MAX_ADDRESSES - kept) / (near + far - kept)
+    for host, number in listed.items():
         if kept and host.startswith("n"):
             assert number == answers
         else:
--- a/tests/test_relay_evacuated.py
+++ b/tests/test_relay_evacuated.py
@@ -1,4 +1,4 @@
-"""Nothing goes to an evacuated failure domain; callers are told at once."""
+"""Evacuated failure domains get no work; callers are refused immediately."""
 
 import asyncio
 import time
@@ -41,7 +41,7 @@
     ("path", "pool"),
     [("/view/1", "plain"), ("/order/1", "plain"), ("/draft/1", "model")],
 )
-def test_nothing_new_goes_there_until_it_is_taken_back(
+def test_no_new_calls_go_there_until_the_evacuation_ends(
     path: str, pool: str
 ) -> None:
     async def test() -> None:
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize(
     ("path", "pool"), [("/view/1", "plain"), ("/draft/1", "model")]
 )
-def test_with_all_evacuated_callers_are_refused_at_once(
+def test_callers_are_refused_immediately_if_all_is_evacuated(
     path: str, pool: str
 ) -> None:
     async def test() -> None:
@@ -77,7 +77,7 @@
             evacuate(world, 1, "north", "south")
             began_s = time.monotonic()
             answer = await world.call(path, headers=USAGE)
-            # Far below the target of 1 s, until which it may wait for room.
+            # Well below the target of 1 s, the limit for waiting for memory.
             assert time.monotonic() - began_s < 0.5
             assert answer.status == 503
             assert float(answer.headers["Retry-After"]) > 0
@@ -86,9 +86,7 @@
     run(test())
 
 
-def test_what_waits_for_room_is_refused_as_the_last_domain_is_evacuated() -> (
-    None
-):
+def test_waiting_calls_are_refused_when_the_last_domain_is_evacuated() -> None:
     async def test() -> None:
         (stand_in,) = replicas("model", ["north"])
         stand_in.behave = hang_midway
@@ -108,7 +106,7 @@
             evacuate(world, 1, "north")
             evacuated_s = time.monotonic()
             answers = await asyncio.gather(*waiting)
-            # Within two looks, of 0.1 s; the target is 1 s.
+            # Within two polls of 0.1 s each; the target is 1 s.
             assert time.monotonic() - evacuated_s < 0.4
             assert {answer.status for answer in answers} == {503}
             assert len(stand_in.arrivals) == 1
@@ -117,7 +115,7 @@
     run(test())
 
 
-def test_what_runs_there_ends_there() -> None:
+def test_running_generations_complete_in_an_evacuated_domain() -> None:
     go_on = asyncio.Event()
 
     async def slow(
@@ -150,8 +148,10 @@
 
 
 @pytest.mark.parametrize("is_lost", [False, True])
-def test_what_leaves_an_engine_goes_to_no_evacuated_one(is_lost: bool) -> None:
-    """Neither by a move, nor to the backup chosen before."""
+def test_generations_are_not_moved_to_an_evacuated_domain(
+    is_lost: bool,
+) -> None:
+    """Neither by a move nor on a backup that was chosen before."""
     lose = asyncio.Event()
 
     async def hang(
--- a/tests/test_relay_leaving_load.py
+++ b/tests/test_relay_leaving_load.py
@@ -1,8 +1,8 @@
-"""A crowded engine gives notice: what its callers get.
+"""Callers' streams when a busy engine gives notice.
 
-The stand-ins have a link over which copies go one after the other, and are
-gone some time after the notice. Reports are old: they still list generations
-that have ended, and tell nothing of the notice yet.
+The stand-ins copy over one link, one copy after the other, and terminate some
+time after the notice. Their reports are out of date: they still list ended
+generations and do not show the notice yet.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 )
 
 WHOLE = b"".join(event(number) for number in range(LAST + 1))
-TOKENS = 1_000  # of each generation, and so the time of a copy
+TOKENS = 1_000  # of each generation; determines the duration of a copy
 COPY_S = 0.15
 NOTICE_S = 1.5
 TRAITS = EngineTraits(
@@ -44,10 +44,10 @@
 
 
 class LeavingEngine:
-    """Hold what runs on an engine that leaves, and the use of its link."""
+    """The generations on a leaving engine, and the use of its link."""
 
     def __init__(self, world: RelayWorld, ended: list[str]) -> None:
-        """Copy over one link; reports still list what has `ended`."""
+        """Copy over one link; reports still list the `ended` runs."""
         self.world = world
         self.ended = ended
         self.link = asyncio.Lock()
@@ -57,14 +57,14 @@
 
     @property
     def is_gone(self) -> bool:
-        """Tell whether its time is over."""
+        """Tell whether the engine has terminated."""
         now_s = asyncio.get_running_loop().time()
         return now_s > self.noticed_s + NOTICE_S
 
     async def behave(
         self, connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
-        """Generate without an end, or the rest where a copy lies."""
+        """Generate without an end, or complete a resumed generation."""
         request_id = request.headers[NAMES.request_id]
         await connection.begin_stream(request)
         if NAMES.resume_source in request.headers:
@@ -79,7 +79,7 @@
         connection.reset()
 
     async def report(self, upstream: Upstream) -> Report:
-        """Tell what was so half a second ago."""
+        """Return the state as of half a second ago."""
         runs = [
             Run(request_id=name, tokens=TOKENS, events=50)
             for name in [*self.ended, *self.stopped]
@@ -98,7 +98,7 @@
         *,
         stop: bool,
     ) -> Copy:
-        """Copy what is new, behind the copies before it."""
+        """Copy what is new, after the copies before it."""
         async with self.link:
             is_first = request_id not in self.copied
             await asyncio.sleep(COPY_S if is_first else 0.005)
@@ -111,7 +111,7 @@
 
 
 async def leave(running: int, ended: int) -> list[CallerAnswer]:
-    """Have an engine with so many generations leave; return the answers."""
+    """Let an engine with `running` generations leave; return the answers."""
     first, second = (
         ReplicaStandIn(f"model-{i}", "model", NAMES) for i in range(2)
     )
@@ -137,12 +137,12 @@
         return await asyncio.gather(*calls)
 
 
-def test_all_that_the_link_carries_in_time_end_whole() -> None:
-    """Seven copies take 1.05 s of the 1.5 s there are.
+def test_all_generations_complete_if_the_link_is_fast_enough() -> None:
+    """Seven copies take 1.05 s of the available 1.5 s.
 
-    Three generations have just ended by themselves, as the engine's report
-    does not know yet. Before, every generation waited for the copies of all
-    that were listed before it, those three too: 5 of 7 ended whole.
+    Three generations have just ended on their own, which the engine's report
+    does not show yet. Guards against waiting for the copies of all runs
+    listed earlier, including those three: only 5 of 7 streams were complete.
     """
 
     async def test() -> None:
@@ -153,11 +153,11 @@
     run(test())
 
 
-def test_more_than_the_link_carries_costs_no_other_its_place() -> None:
-    """Fourteen copies take 2.1 s of the 1.5 s there are.
+def test_late_copies_do_not_delay_those_that_fit() -> None:
+    """Fourteen copies take 2.1 s of the available 1.5 s.
 
-    Eight of them fit, besides the time for stops and orders; the rest must
-    not take the link from these.
+    Eight of them fit, apart from the time for stopping and coordination; the
+    rest must not use the link at their expense.
     """
 
     async def test() -> None:
--- a/tests/test_relay_claims.py
+++ b/tests/test_relay_move_reservation.py
@@ -1,4 +1,4 @@
-"""Hosts that look for room in the same moment do not take the same."""
+"""Hosts that reserve memory at the same time do not overcommit an engine."""
 
 import asyncio
 import random
@@ -14,26 +14,29 @@
 from balsamlift.peers import Peers, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer
-from balsamlift.relay._claims import FILLED_BY_MOVES_PART, claim_room
 from balsamlift.relay._job import Job
-from balsamlift.relay._placing import STANDARD
+from balsamlift.relay._move_reservation import (
+    MOVE_FILL_LIMIT,
+    reserve_for_move,
+)
+from balsamlift.relay._placing import DEFAULT_POLICY
 from balsamlift.relay._rooms import Holding, Rooms
 from balsamlift.relay._tools import Tools
 
 TRAITS = EngineTraits(memory_tokens=10_000, can_move=True)
 TOKENS = 1_000
-MOST = round(TRAITS.memory_tokens * FILLED_BY_MOVES_PART)
+MOST = round(TRAITS.memory_tokens * MOVE_FILL_LIMIT)
 
 
-async def claim_at_once(
-    claims: int, engines: int, used: int, seed: int
+async def reserve_concurrently(
+    hosts: int, engines: int, used: int, seed: int
 ) -> list[Holding | None]:
-    """Have so many hosts look for room on engines that are that full."""
-    counts = Counts(claims)
+    """Let `hosts` hosts reserve memory on engines that use `used` tokens."""
+    counts = Counts(hosts)
     counts.by_host[-1] = {f"e{i}": used for i in range(engines)}
     listed = engines_of_one_domain(engines)
 
-    async def claim(host: int) -> Holding | None:
+    async def reserve(host: int) -> Holding | None:
         balancer = Balancer(
             cast(Upstreams, listed),
             cast(Peers, HostCounts(counts, host)),
@@ -42,33 +45,33 @@
             "north",
         )
         rng = random.Random(f"{seed}/{host}")
-        # The word of a notice comes to all within a few milliseconds.
+        # The hosts learn of the notice within a few milliseconds.
         await asyncio.sleep(rng.uniform(0.0, 0.005))
         tools = Namespace(balancer=balancer, rooms=Rooms(balancer), rng=rng)
         job = Namespace(scope=SCOPE, traits=TRAITS, tokens=TOKENS)
-        return await claim_room(
+        return await reserve_for_move(
             cast(Tools, tools), cast(Job, job), "north", ()
         )
 
-    return await asyncio.gather(*(claim(host) for host in range(claims)))
+    return await asyncio.gather(*(reserve(host) for host in range(hosts)))
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_claims_at_once_do_not_fill_an_engine_beyond_its_memory(
+def test_concurrent_reservations_do_not_overcommit_an_engine(
     seed: int,
 ) -> None:
     """Twelve generations leave at once; eight engines have room for 16.
 
-    Before, all twelve held the same engine, which has room for two: eight of
-    them were refused after their turn at the link had come.
+    Guards against all twelve choosing the same engine, which has room for
+    two: eight of them were then refused after waiting for the link.
     """
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        holdings = await claim_at_once(
+        holdings = await reserve_concurrently(
             12, engines=8, used=MOST - 2 * TOKENS, seed=seed
         )
-        assert loop.time() < 1.0  # of a notice of 1.5 s and more
+        assert loop.time() < 1.0  # the notice is at least 1.5 s
         placed = Counter(h.upstream.name for h in holdings if h)
         assert placed.total() == 12
         assert max(placed.values()) <= 2
@@ -76,10 +79,10 @@
     run_virtual(test)
 
 
-def test_a_claim_alone_takes_a_moment() -> None:
+def test_a_single_reservation_is_fast() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        (holding,) = await claim_at_once(
+        (holding,) = await reserve_concurrently(
             1, engines=2, used=MOST - 2 * TOKENS, seed=1
         )
         assert holding is not None
@@ -89,9 +92,9 @@
     run_virtual(test)
 
 
-def test_nothing_is_held_where_there_is_no_room() -> None:
+def test_nothing_is_reserved_without_free_memory() -> None:
     async def test() -> None:
-        holdings = await claim_at_once(
+        holdings = await reserve_concurrently(
             3, engines=2, used=MOST - TOKENS // 2, seed=1
         )
         assert holdings == [None, None, None]
@@ -99,12 +102,16 @@
     run_virtual(test)
 
 
-def test_what_leaves_finds_room_where_newcomers_do_not() -> None:
-    """Else all engines are full as one gives notice, and it is lost."""
-    used = round(TRAITS.memory_tokens * STANDARD.filled_part) - TOKENS // 2
+def test_moves_may_fill_an_engine_further_than_new_generations() -> None:
+    """Otherwise a generation is lost if all engines are full at a notice."""
+    used = (
+        round(TRAITS.memory_tokens * DEFAULT_POLICY.filled_part) - TOKENS // 2
+    )
 
     async def test() -> None:
-        (holding,) = await claim_at_once(1, engines=1, used=used, seed=1)
+        (holding,) = await reserve_concurrently(
+            1, engines=1, used=used, seed=1
+        )
         assert holding is not None
 
     run_virtual(test)
--- a/tests/test_relay_needs.py
+++ b/tests/test_relay_needs.py
@@ -1,4 +1,4 @@
-"""The memory that a generation is expected to take."""
+"""Estimates of the memory that a generation will use."""
 
 import pytest
 from tornado.httputil import HTTPHeaders
@@ -6,7 +6,7 @@
 from balsamlift.relay._needs import read_need
 from balsamlift.testing.relay import NAMES
 
-# Estimates and lengths of answers that may have 2,224 tokens at most.
+# Length hints and actual lengths of answers limited to 2,224 tokens.
 MOST = 2_224
 HINTED = [
     (124, 412),
@@ -50,12 +50,12 @@
         ("odd", "-4", (0, 0)),
     ],
 )
-def test_reads_what_is_told(usage, hint, expected) -> None:
+def test_reads_the_estimate_from_headers(usage, hint, expected) -> None:
     need = read_need(headers(usage, hint), NAMES)
     assert (need.prompt_tokens, need.output_tokens) == expected
 
 
-def test_expects_lengths_closer_than_the_callers_do() -> None:
+def test_estimates_are_closer_than_the_hints_of_callers() -> None:
     def error(expected: float, length: int) -> float:
         return abs(expected - length)
 
@@ -64,11 +64,11 @@
         for h, n in HINTED
     ]
     callers = [error(min(h * 1.3, MOST), n) for h, n in HINTED]
-    # On average 257 tokens off instead of 590.
+    # The mean error is 257 tokens instead of 590.
     assert sum(ours) < sum(callers) / 2
 
 
-def test_expects_as_much_in_sum_as_there_is() -> None:
+def test_the_sum_of_estimates_is_close_to_the_actual_sum() -> None:
     expected = sum(
         read_need(headers(f"1,{MOST}", str(h)), NAMES).output_tokens
         for h, _ in HINTED
--- a/tests/test_relay_homes.py
+++ b/tests/test_relay_regions.py
@@ -1,4 +1,4 @@
-"""Work that is bound to regions runs there; callers find hosts there."""
+"""Region restrictions of routes and workspaces."""
 
 import asyncio
 import random
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ("homes", "expected"),
+    ("regions", "expected"),
     [
         ([set(), set()], None),
         ([{"land"}, set()], {"land"}),
@@ -34,12 +34,12 @@
         ([{"land"}, {"sea"}], set()),
     ],
 )
-def test_route_and_workspace_both_bind(homes, expected) -> None:
-    assert bound_regions(*map(frozenset, homes)) == expected
+def test_route_and_workspace_both_restrict_regions(regions, expected) -> None:
+    assert bound_regions(*map(frozenset, regions)) == expected
 
 
 @pytest.mark.parametrize(
-    ("route_homes", "workspace_homes", "allowed"),
+    ("route_regions", "workspace_regions", "allowed"),
     [
         ([], [], {"north", "isle", "far"}),
         (["sea"], [], {"isle"}),
@@ -49,10 +49,10 @@
     ],
 )
 @pytest.mark.parametrize("kind", ["idempotent", "stream"])
-def test_work_runs_where_its_homes_allow(
+def test_calls_run_in_permitted_regions_only(
     kind: str,
-    route_homes: list[str],
-    workspace_homes: list[str],
+    route_regions: list[str],
+    workspace_regions: list[str],
     allowed: set[str],
 ) -> None:
     async def test() -> None:
@@ -64,9 +64,9 @@
         if kind == "stream":
             for stand_in in stand_ins:
                 stand_in.behave = stream
-        bound = route(kind, "/a/", pool, regions=frozenset(route_homes))
+        bound = route(kind, "/a/", pool, regions=frozenset(route_regions))
         workspace = Workspace(
-            name=WORKSPACE, keys=(KEY,), regions=frozenset(workspace_homes)
+            name=WORKSPACE, keys=(KEY,), regions=frozenset(workspace_regions)
         )
         async with RelayWorld(stand_ins, regions=REGIONS) as world:
             world.configure(routes=(bound,), workspaces=(workspace,))
@@ -83,8 +83,8 @@
     run(test())
 
 
-def directory(domains: list[str], homes: list[str] | None) -> Directory:
-    """Return a directory that knows a host in each of these domains."""
+def directory(domains: list[str], regions: list[str] | None) -> Directory:
+    """Return a directory that knows one host for each entry of `domains`."""
     peers = [
         Namespace(
             leaving=False,
@@ -103,7 +103,7 @@
         ),
         "routing": Namespace(
             is_configured=True,
-            regions_of=lambda host: None if homes is None else set(homes),
+            regions_of=lambda host: None if regions is None else set(regions),
         ),
     }
     kernel = Namespace(find=lambda name, kind: services[name])
@@ -112,13 +112,13 @@
 
 
 @pytest.mark.parametrize(
-    ("domains", "homes", "caller", "named"),
+    ("domains", "regions", "caller", "named"),
     [
-        # Two near ones are enough; else those of the region.
+        # Two hosts in the domain are enough; otherwise those of its region.
         (["north", "north", "south"], None, "north", {"north"}),
         (["north", "south", "isle"], None, "north", {"north", "south"}),
         (["south", "south", "isle"], ["sea"], "north", {"south"}),
-        # One host in reach: others only where all may run.
+        # One host in the region: others only where all calls may run.
         (["north", "isle"], ["land"], "north", {"north"}),
         (
             ["north", "isle", "far"],
@@ -127,15 +127,15 @@
             {"north", "isle"},
         ),
         (["north", "isle"], None, "north", {"north", "isle"}),
-        # None in the region: where it may run, or else any host.
+        # None in the region: hosts where calls may run, or else any host.
         (["isle", "far"], ["sea"], "north", {"isle"}),
         (["isle", "far"], ["land"], "north", {"isle", "far"}),
     ],
 )
-def test_callers_are_named_hosts_of_their_region_or_of_a_home(
-    domains: list[str], homes: list[str] | None, caller: str, named: set[str]
+def test_callers_get_hosts_of_their_own_or_a_permitted_region(
+    domains: list[str], regions: list[str] | None, caller: str, named: set[str]
 ) -> None:
-    answer = directory(domains, homes).find(
+    answer = directory(domains, regions).find(
         Caller(caller, REGIONS[caller], HOST)
     )
     found = {address.partition(":")[0] for address in answer.addresses}
--- a/tests/test_relay_retries.py
+++ b/tests/test_relay_retries.py
@@ -1,4 +1,4 @@
-"""The budget of retries, summed over hosts that come and go."""
+"""The retry budget of all hosts together, while hosts join and leave."""
 
 import random
 
@@ -11,8 +11,8 @@
 LIMITS = RetryLimits(ratio=0.2, extra=54, window_s=10.0)
 
 
-class HandClock(SystemClock):
-    """A clock that a test moves by hand."""
+class ManualClock(SystemClock):
+    """A clock that only the test advances."""
 
     now_s = 0.0
 
@@ -27,15 +27,15 @@
     return spent
 
 
-def test_a_share_of_the_requests_may_be_repeated() -> None:
-    retries = Retries(LIMITS, lambda: 1, HandClock())
+def test_a_share_of_the_requests_may_be_retried() -> None:
+    retries = Retries(LIMITS, lambda: 1, ManualClock())
     for _ in range(100):
         retries.requested("s")
     assert spend_all(retries) == 14  # 0.7 of 20
 
 
-def test_the_extra_is_taken_after_a_whole_window() -> None:
-    clock = HandClock()
+def test_the_extra_is_available_after_a_whole_window() -> None:
+    clock = ManualClock()
     retries = Retries(LIMITS, lambda: 2, clock)
     assert spend_all(retries) == 0
     clock.now_s = 10.0
@@ -43,13 +43,13 @@
 
 
 @pytest.mark.parametrize("hosts", [9, 78, 430])
-def test_hosts_that_restart_keep_to_the_budget_together(hosts: int) -> None:
-    """Every window of a run with restarts holds, summed over hosts."""
+def test_restarting_hosts_stay_within_the_budget(hosts: int) -> None:
+    """The budget holds in every window, summed over hosts that restart."""
     rng = random.Random(hosts)
-    clock = HandClock()
+    clock = ManualClock()
     fleet = [Retries(LIMITS, lambda: hosts, clock) for _ in range(hosts)]
     requests: list[float] = []
-    repeats: list[float] = []
+    sent_retries: list[float] = []
     while clock.now_s < 40.0:
         clock.now_s += 0.05
         for _ in range(3):
@@ -57,11 +57,11 @@
             requests.append(clock.now_s)
         retries = rng.choice(fleet)
         while retries.spend("s"):
-            repeats.append(clock.now_s)
+            sent_retries.append(clock.now_s)
         if rng.random() < 0.05:
             fleet[rng.randrange(hosts)] = Retries(LIMITS, lambda: hosts, clock)
-    for end_s in repeats:
+    for end_s in sent_retries:
         start_s = end_s - LIMITS.window_s
-        in_window = sum(start_s < t <= end_s for t in repeats)
+        in_window = sum(start_s < t <= end_s for t in sent_retries)
         asked = sum(start_s < t <= end_s for t in requests)
         assert in_window <= LIMITS.ratio * asked + LIMITS.extra
--- a/tests/test_relay_rooms.py
+++ b/tests/test_relay_rooms.py
@@ -1,4 +1,4 @@
-"""Which engine a generation gets, who waits, and who is told of it."""
+"""Choice of an engine for a generation, and the queue of waiting ones."""
 
 import asyncio
 import random
@@ -12,15 +12,15 @@
 from balsamlift.peers import CountsBasis, Peers, Place, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer, backup_key
-from balsamlift.relay._placing import STANDARD
+from balsamlift.relay._placing import DEFAULT_POLICY
 from balsamlift.relay._rooms import Holding, Rooms
 
 TRAITS = EngineTraits(memory_tokens=10_000)
-MOST = int(TRAITS.memory_tokens * STANDARD.filled_part)
+MOST = int(TRAITS.memory_tokens * DEFAULT_POLICY.filled_part)
 
 
 class OtherHosts:
-    """What the other hosts tell, and what they are told at once."""
+    """Counts of the other hosts, and the counts published to them."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -45,8 +45,8 @@
         self.told.append(dict(self._own))
 
 
-class Bench:
-    """Rooms of one host among others."""
+class AllocatorOfOneHost:
+    """The memory allocator of one host among others."""
 
     def __init__(self, seed: int = 5, **domains: str) -> None:
         self.others = OtherHosts()
@@ -69,58 +69,58 @@
         )
 
 
-def test_the_engine_with_the_most_room_is_found_over_all_hosts() -> None:
-    bench = Bench(e1="north", e2="north")
-    bench.others.counts["e1"] = 3_000
-    assert bench.find(1_000) == "e2"
-    bench.balancer.add("e2", 5_000)
-    assert bench.find(1_000) == "e1"
+def test_the_engine_with_the_most_free_memory_is_found() -> None:
+    host = AllocatorOfOneHost(e1="north", e2="north")
+    host.others.counts["e1"] = 3_000
+    assert host.find(1_000) == "e2"
+    host.balancer.add("e2", 5_000)
+    assert host.find(1_000) == "e1"
 
 
-def test_an_engine_is_not_filled_beyond_its_part() -> None:
-    bench = Bench(e1="north")
-    assert bench.find(MOST) == "e1"
-    assert bench.find(MOST + 1) is None
-    bench.others.counts["e1"] = 1
-    assert bench.find(MOST) is None
+def test_an_engine_is_not_filled_beyond_the_limit() -> None:
+    host = AllocatorOfOneHost(e1="north")
+    assert host.find(MOST) == "e1"
+    assert host.find(MOST + 1) is None
+    host.others.counts["e1"] = 1
+    assert host.find(MOST) is None
 
 
 @pytest.mark.parametrize(("load", "expected"), [(400, "e1"), (600, "e2")])
-def test_the_own_domain_goes_before_a_little_room(load, expected) -> None:
-    bench = Bench(e1="north", e2="south")
-    bench.others.counts["e1"] = load
-    assert bench.find(1_000) == expected
+def test_the_own_domain_outweighs_a_little_memory(load, expected) -> None:
+    host = AllocatorOfOneHost(e1="north", e2="south")
+    host.others.counts["e1"] = load
+    assert host.find(1_000) == expected
 
 
-def test_what_is_held_is_told_to_the_other_hosts_at_once() -> None:
+def test_reservations_are_published_immediately() -> None:
     async def test() -> None:
-        bench = Bench(e1="north", e2="north")
-        holding = await bench.wait(2_000)
+        host = AllocatorOfOneHost(e1="north", e2="north")
+        holding = await host.wait(2_000)
         name = holding.upstream.name
-        assert bench.others.told == [{name: 2_000}]
+        assert host.others.told == [{name: 2_000}]
         other = next(
-            u for u in bench.balancer.usable(SCOPE, ()) if u.name != name
+            u for u in host.balancer.usable(SCOPE, ()) if u.name != name
         )
         holding.move(other)
-        assert bench.others.told[-1] == {name: 0, other.name: 2_000}
+        assert host.others.told[-1] == {name: 0, other.name: 2_000}
 
     asyncio.run(test())
 
 
-def test_the_urgent_go_first_and_nobody_passes_a_large_one() -> None:
+def test_urgent_requests_go_first_and_large_ones_do_not_starve() -> None:
     async def test() -> None:
-        bench = Bench(e1="north")
-        first = await bench.wait(MOST)
+        host = AllocatorOfOneHost(e1="north")
+        first = await host.wait(MOST)
         tasks = {
-            "large": bench.wait(6_000, priority=1),
-            "small": bench.wait(4_000, priority=1),
-            "urgent": bench.wait(2_000, priority=0),
+            "large": host.wait(6_000, priority=1),
+            "small": host.wait(4_000, priority=1),
+            "urgent": host.wait(2_000, priority=0),
         }
         await asyncio.sleep(0)
-        assert bench.rooms.waiting == 3
+        assert host.rooms.waiting == 3
         first.release()
         await asyncio.sleep(0.01)
-        # 2,000 and 6,000 of 9,000: the small one does not fit beside them.
+        # 2,000 and 6,000 of 9,000: the small one does not fit as well.
         assert [name for name, t in tasks.items() if t.done()] == [
             "large",
             "urgent",
@@ -131,47 +131,49 @@
     asyncio.run(test())
 
 
-def test_one_that_gives_up_leaves_nothing_behind() -> None:
+def test_a_cancelled_wait_leaves_no_reservation() -> None:
     async def test() -> None:
-        bench = Bench(e1="north")
-        first = await bench.wait(MOST)
-        waiting = bench.wait(1_000)
+        host = AllocatorOfOneHost(e1="north")
+        first = await host.wait(MOST)
+        waiting = host.wait(1_000)
         await asyncio.sleep(0)
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        assert bench.rooms.waiting == 0
+        assert host.rooms.waiting == 0
         first.release()
-        assert bench.balancer.load("e1") == 0
+        assert host.balancer.load("e1") == 0
 
     asyncio.run(test())
 
 
 @pytest.mark.parametrize(("load", "kept_at"), [(5_000, "e1"), (9_000, None)])
-def test_a_crowded_pool_keeps_no_backups(
-    load: int, kept_at: str | None
-) -> None:
-    """Not at the one engine that has just come up empty either.
+def test_a_busy_pool_stores_no_backups(load: int, kept_at: str | None) -> None:
+    """An engine that has just started empty stores no backups either.
 
-    It is filled with generations next, as the others are.
+    It fills up with generations next, like the others.
     """
-    bench = Bench(source="north", e1="north", e2="north", e3="north")
+    host = AllocatorOfOneHost(
+        source="north", e1="north", e2="north", e3="north"
+    )
     for name in ("source", "e2", "e3"):
-        bench.others.counts[name] = load
-    source = bench.balancer.usable(SCOPE, {"e1", "e2", "e3"})[0]
-    holding = bench.rooms.hold_backup(SCOPE, source, TRAITS, 1_000)
+        host.others.counts[name] = load
+    source = host.balancer.usable(SCOPE, {"e1", "e2", "e3"})[0]
+    holding = host.rooms.reserve_backup(SCOPE, source, TRAITS, 1_000)
     assert (holding.upstream.name if holding else None) == kept_at
 
 
-def test_backups_of_a_crowded_moment_leave_room_for_generations() -> None:
-    """Thirty generations back up beside engines that are mostly full."""
-    bench = Bench(source="north", e1="north", e2="north", e3="north")
+def test_backups_in_a_busy_pool_leave_memory_for_generations() -> None:
+    """Thirty generations choose backups while most engines are nearly full."""
+    host = AllocatorOfOneHost(
+        source="north", e1="north", e2="north", e3="north"
+    )
     for name in ("e2", "e3"):
-        bench.others.counts[name] = 8_000
-    source = bench.balancer.usable(SCOPE, {"e1", "e2", "e3"})[0]
+        host.others.counts[name] = 8_000
+    source = host.balancer.usable(SCOPE, {"e1", "e2", "e3"})[0]
     for _ in range(30):
-        bench.rooms.hold_backup(SCOPE, source, TRAITS, 1_000)
-    kept = bench.balancer.load(backup_key("e1"))
-    assert kept <= 2_000  # was 5_000, half of the engine
+        host.rooms.reserve_backup(SCOPE, source, TRAITS, 1_000)
+    kept = host.balancer.load(backup_key("e1"))
+    assert kept <= 2_000  # half of the engine, 5_000, is too much
 
 
 READ_TOKENS_PER_S = 14_000
@@ -180,41 +182,44 @@
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize("basis", ["old", "scaled"])
-def test_hosts_that_do_not_know_the_load_do_not_choose_the_same(
+def test_hosts_with_outdated_counts_choose_different_engines(
     basis: CountsBasis, seed: int
 ) -> None:
-    """87 hosts begin 39 generations a second; their counts are 1.5 s old.
+    """87 hosts start 39 generations a second with counts 1.5 s out of date.
 
-    One of 28 engines has just come up, all others are half full. Before, all
-    of them went there: 70 prompts, which take 15 s to read.
+    One of 28 engines has just started, all others are half full. Guards
+    against all hosts choosing that engine: it received 70 prompts, which take
+    15 s to process.
     """
     rng = random.Random(seed)
     engines = {f"e{n}": "north" for n in range(28)}
     prompts: Counter[str] = Counter()
     for _ in range(round(39 * TARGET_S)):
-        bench = Bench(seed=rng.randrange(1 << 30), **engines)
-        bench.others.counts_basis = basis
+        host = AllocatorOfOneHost(seed=rng.randrange(1 << 30), **engines)
+        host.others.counts_basis = basis
         for name in list(engines)[1:]:
-            bench.others.counts[name] = MOST // 2
-        found = bench.find(1_000)
+            host.others.counts[name] = MOST // 2
+        found = host.find(1_000)
         assert found is not None
         prompts[found] += 3_000
     assert max(prompts.values()) <= READ_TOKENS_PER_S * TARGET_S
 
 
-def test_few_hosts_that_hear_one_another_take_the_best() -> None:
+def test_hosts_with_current_counts_choose_the_best_engine() -> None:
     engines = {f"e{n}": "north" for n in range(28)}
     for seed in range(20):
-        bench = Bench(seed=seed, **engines)
+        host = AllocatorOfOneHost(seed=seed, **engines)
         for name in list(engines)[1:]:
-            bench.others.counts[name] = 1_000
-        assert bench.find(1_000) == "e0"
+            host.others.counts[name] = 1_000
+        assert host.find(1_000) == "e0"
 
 
-def test_equals_are_chosen_alike() -> None:
+def test_equal_engines_are_chosen_equally_often() -> None:
     found: Counter[str | None] = Counter()
     for seed in range(300):
-        bench = Bench(seed=seed, e1="north", e2="north", e3="north")
-        found[bench.find(1_000)] += 1
+        host = AllocatorOfOneHost(
+            seed=seed, e1="north", e2="north", e3="north"
+        )
+        found[host.find(1_000)] += 1
     assert len(found) == 3
     assert min(found.values()) > 60
--- a/tests/test_relay_words.py
+++ b/tests/test_relay_shared_health.py
@@ -1,4 +1,4 @@
-"""What broken engines cost, with what hosts tell each other of them."""
+"""Requests lost to broken engines when hosts share their observations."""
 
 import asyncio
 import random
@@ -16,49 +16,49 @@
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer
 from balsamlift.relay._rooms import Rooms
-from balsamlift.relay._words import (
-    FAILING_S,
-    FIRST_HOSTS,
-    ONE_WORD_SHARE,
-    OWN_TROUBLE,
-    SERVING_S,
-    TRIAL_S,
-    Verdict,
-    Words,
-    is_to_avoid,
+from balsamlift.relay._shared_health import (
+    FAILURE_TTL_S,
+    LOCAL_FAULT_FAILURES,
+    PROBATION_HOSTS,
+    PROBATION_S,
+    SINGLE_HOST_FAILURE_SHARE,
+    SUCCESS_TTL_S,
+    HealthReports,
+    SharedHealth,
+    should_avoid,
 )
 
 TRAITS = EngineTraits(memory_tokens=21_896)
 ENGINES = 28
 BROKEN = {"e3", "e17"}
-PER_S = 39.0  # generations that begin, a third of them long
+PER_S = 39.0  # generations started, a third of them long
 LONG_S, LONG_TOKENS = 5.5, 3_700
 SHORT_S, SHORT_TOKENS = 0.4, 2_300
-ANSWER_S = 0.3  # until an engine's first event
+ANSWER_S = 0.3  # until the first event of an engine
 RESET_S = 0.002
 WAIT_S = 1.8
 WARM_UP_S = 6.0
 
 
 @attrs.define
-class Course:
-    """What became of the generations of some seconds."""
+class Results:
+    """Counts of generations started, lost and refused."""
 
-    begun: int = 0
+    started: int = 0
     lost: Counter[str] = attrs.field(factory=Counter)
     refused: int = 0
 
 
 class Pool:
-    """Hosts before one pool of engines, some of which reset all requests.
+    """Hosts that share one pool of engines, some of which reset all requests.
 
-    `cut` are hosts that reach no engine, but all other hosts.
+    The first `cut` hosts can reach all other hosts but no engine.
     """
 
     def __init__(self, hosts: int, seed: int, cut: int = 0) -> None:
         self.rng = random.Random(seed)
         self.broken: set[str] = set()
-        self.course = Course()
+        self.results = Results()
         counts = Counts(hosts)
         listed = engines_of_one_domain(ENGINES)
         self.cut = set(range(cut))
@@ -75,9 +75,9 @@
         self.rooms = [Rooms(balancer) for balancer in self.balancers]
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def play(self, length_s: float) -> Course:
-        """Return the course of what begins in that time."""
-        self.course = Course()
+    async def run(self, length_s: float) -> Results:
+        """Return the results of the generations started in that time."""
+        self.results = Results()
         loop = asyncio.get_running_loop()
         until_s = loop.time() + length_s
         swept_s = loop.time()
@@ -93,11 +93,11 @@
                 ):
                     balancer.forget_old()
                     rooms.look()
-        return self.course
+        return self.results
 
     async def _generate(self) -> None:
-        course = self.course
-        course.begun += 1
+        results = self.results
+        results.started += 1
         host = self.rng.randrange(len(self.balancers))
         balancer, rooms = self.balancers[host], self.rooms[host]
         is_long = self.rng.random() < 0.34
@@ -107,7 +107,7 @@
                 await balancer.refresh()
                 holding = await rooms.wait(SCOPE, TRAITS, tokens, 0)
         except TimeoutError:
-            course.refused += 1
+            results.refused += 1
             return
         assert holding is not None
         name = holding.upstream.name
@@ -116,7 +116,7 @@
                 await asyncio.sleep(RESET_S)
                 balancer.saw_break(name)
                 if host not in self.cut:
-                    course.lost[name] += 1
+                    results.lost[name] += 1
                 return
             await asyncio.sleep(ANSWER_S)
             balancer.saw_success(name)
@@ -131,43 +131,43 @@
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("hosts", [8, 87, 195])
-def test_broken_engines_take_little_of_the_work(hosts: int, seed: int) -> None:
+def test_broken_engines_receive_few_generations(hosts: int, seed: int) -> None:
     """Two of 28 engines reset all requests for a while.
 
-    They took a third of all generations before. At most a tenth of their
-    share is to be lost, once it is known which they are.
+    Without shared observations they received a third of all generations. At
+    most a tenth of their regular share may be lost once they are identified.
     """
 
     async def test() -> None:
         pool = Pool(hosts, seed)
-        await pool.play(WARM_UP_S)
+        await pool.run(WARM_UP_S)
         pool.broken = BROKEN
-        course = await pool.play(30.0)
+        results = await pool.run(30.0)
         pool.stop()
         share = len(BROKEN) / ENGINES
         first = len(BROKEN)
-        assert course.lost.total() <= first + course.begun * share / 10
-        assert course.refused == 0
+        assert results.lost.total() <= first + results.started * share / 10
+        assert results.refused == 0
 
     run_virtual(test)
 
 
 @pytest.mark.parametrize("hosts", [8, 87])
-def test_an_engine_that_is_well_again_gets_its_share_soon(hosts: int) -> None:
+def test_a_recovered_engine_soon_gets_its_share(hosts: int) -> None:
     async def test() -> None:
         pool = Pool(hosts, seed=1)
-        await pool.play(WARM_UP_S)
+        await pool.run(WARM_UP_S)
         pool.broken = BROKEN
-        await pool.play(5.6)
+        await pool.run(5.6)
         pool.broken = set()
-        await pool.play(FAILING_S * 2)
+        await pool.run(FAILURE_TTL_S * 2)
         loads = Counter(dict.fromkeys(BROKEN, 0))
         for _ in range(20):
-            await pool.play(0.5)
+            await pool.run(0.5)
             for name in BROKEN:
                 loads[name] += sum(b.own_load(name) for b in pool.balancers)
         pool.stop()
-        # Half of what all engines have on average, at least.
+        # At least half of the average load of all engines.
         per_engine = PER_S * (0.34 * LONG_TOKENS * LONG_S) / ENGINES
         assert min(loads.values()) / 20 >= per_engine / 2
 
@@ -175,110 +175,115 @@
 
 
 @pytest.mark.parametrize("cut", [1, 30])
-def test_hosts_in_trouble_shut_out_no_engine_for_others(cut: int) -> None:
-    """They reach no engine and tell so, to hosts that are well served."""
+def test_faulty_hosts_do_not_exclude_engines_for_others(cut: int) -> None:
+    """Such hosts report every engine as failing to hosts without trouble."""
 
     async def test() -> None:
         pool = Pool(87, seed=3, cut=cut)
-        course = await pool.play(20.0)
+        results = await pool.run(20.0)
         names = [f"e{i}" for i in range(ENGINES)]
         for balancer in pool.balancers[cut:]:
             assert len(balancer.usable(SCOPE, ())) > ENGINES * 0.9
             assert all(
-                balancer.failure_share(n) <= ONE_WORD_SHARE for n in names
+                balancer.failure_share(n) <= SINGLE_HOST_FAILURE_SHARE
+                for n in names
             )
         pool.stop()
-        assert course.refused == 0
+        assert results.refused == 0
 
     run_virtual(test)
 
 
 @pytest.mark.parametrize(
-    ("failing", "serving", "on_trial", "position", "expected"),
+    ("failing", "serving", "on_probation", "position", "expected"),
     [
         (0, 0, 0, 9, False),
-        (1, 0, 1, 9, False),  # one host's word shuts nothing out
+        (1, 0, 1, 9, False),  # reported by a single host
         (2, 0, 2, 0, True),
         (2, 1, 2, 9, True),
         (2, 2, 2, 9, False),
-        (0, 0, 2, 0, False),  # on trial: the first in its order try it
-        (0, 0, 2, FIRST_HOSTS, True),
-        (1, 0, 2, 0, True),  # and one of them has found it broken still
-        (0, 1, 2, 9, False),  # or has been served
+        (0, 0, 2, 0, False),  # on probation: the first hosts in its order try
+        (0, 0, 2, PROBATION_HOSTS, True),
+        (1, 0, 2, 0, True),  # and one of these saw it fail again
+        (0, 1, 2, 9, False),  # or was served
     ],
 )
-def test_who_avoids_an_upstream(
-    failing: int, serving: int, on_trial: int, position: int, expected: bool
+def test_which_hosts_avoid_an_upstream(
+    failing: int,
+    serving: int,
+    on_probation: int,
+    position: int,
+    expected: bool,
 ) -> None:
-    verdict = Verdict(failing, serving, on_trial)
-    assert is_to_avoid(verdict, lambda: Place(position, 20)) is expected
+    reports = HealthReports(failing, serving, on_probation)
+    assert should_avoid(reports, lambda: Place(position, 20)) is expected
 
 
-class Told:
-    """The counts of one host, without others."""
+class SingleHost:
+    """The counts of a single host, with adjustable counts of others."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.others: Counter[str] = Counter()
-        self.at_once = 0
-        self.words = Words(
+        self.publications = 0
+        self.shared_health = SharedHealth(
             self.counts.__setitem__,
-            self._tell_now,
+            self._publish_counts,
             self.others.__getitem__,
             lambda name: Place(0, 2),
         )
 
-    def _tell_now(self) -> None:
-        self.at_once += 1
+    def _publish_counts(self) -> None:
+        self.publications += 1
 
     def names(self) -> set[str]:
         return {name for name, count in self.counts.items() if count}
 
 
-def test_a_failure_is_told_at_once_and_for_a_limited_time() -> None:
-    told = Told()
-    told.words.saw("a", 10.0, is_failing=True)
-    assert told.names() == {"a/failing", "a/trial"}
-    assert told.at_once == 1
-    told.words.expire(10.0 + FAILING_S + 0.1, {"a"})
-    assert told.names() == {"a/trial"}
-    told.words.expire(10.0 + TRIAL_S + 0.1, {"a"})
-    assert told.names() == set()
+def test_a_failure_is_published_immediately_and_expires() -> None:
+    host = SingleHost()
+    host.shared_health.record("a", 10.0, is_failing=True)
+    assert host.names() == {"a/failing", "a/trial"}
+    assert host.publications == 1
+    host.shared_health.expire(10.0 + FAILURE_TTL_S + 0.1, {"a"})
+    assert host.names() == {"a/trial"}
+    host.shared_health.expire(10.0 + PROBATION_S + 0.1, {"a"})
+    assert host.names() == set()
 
 
-def test_an_upstream_that_serves_is_told_as_such() -> None:
-    told = Told()
-    told.words.saw("a", 10.0, is_failing=True)
-    told.words.saw("a", 11.0, is_failing=False)
-    assert told.names() == {"a/serving"}
-    told.words.expire(11.0 + SERVING_S + 0.1, {"a"})
-    assert told.names() == set()
+def test_a_success_is_published_and_expires() -> None:
+    host = SingleHost()
+    host.shared_health.record("a", 10.0, is_failing=True)
+    host.shared_health.record("a", 11.0, is_failing=False)
+    assert host.names() == {"a/serving"}
+    host.shared_health.expire(11.0 + SUCCESS_TTL_S + 0.1, {"a"})
+    assert host.names() == set()
 
 
-def test_words_on_upstreams_that_are_gone_are_taken_back() -> None:
-    told = Told()
-    told.words.saw("a", 10.0, is_failing=True)
-    told.words.expire(10.5, set())
-    assert told.names() == set()
+def test_reports_on_unlisted_upstreams_are_withdrawn() -> None:
+    host = SingleHost()
+    host.shared_health.record("a", 10.0, is_failing=True)
+    host.shared_health.expire(10.5, set())
+    assert host.names() == set()
 
 
-def test_a_host_that_sees_all_fail_tells_nothing() -> None:
-    told = Told()
-    for n in range(OWN_TROUBLE):
-        told.words.saw(f"u{n}", 10.0, is_failing=True)
-    assert told.names() == set()
-    assert told.words.verdict("u0").failing == 0
+def test_a_host_that_sees_all_upstreams_fail_reports_none() -> None:
+    host = SingleHost()
+    for n in range(LOCAL_FAULT_FAILURES):
+        host.shared_health.record(f"u{n}", 10.0, is_failing=True)
+    assert host.names() == set()
+    assert host.shared_health.reports("u0").failing == 0
 
 
-def test_where_most_are_told_to_fail_none_is_avoided() -> None:
-    told = Told()
+def test_no_upstream_is_avoided_if_most_are_failing() -> None:
+    host = SingleHost()
     for name in "abc":
-        told.others[f"{name}/failing"] = told.others[f"{name}/trial"] = 3
-    assert told.words.avoided("abcdef") == set("abc")
-    assert told.words.avoided("abcde") == set()
+        host.others[f"{name}/failing"] = host.others[f"{name}/trial"] = 3
+    assert host.shared_health.avoided("abcdef") == set("abc")
+    assert host.shared_health.avoided("abcde") == set()
 
 
-def test_one_partners_word_is_not_scaled_up_to_that_of_many() -> None:
+def test_the_report_of_one_host_is_not_scaled_up() -> None:
     counts = Counts(87)
     host = HostCounts(counts, 1)
     host._others.update({"e0/failing": 43, "e0/trial": 43})
@@ -298,20 +303,20 @@
     run_virtual(test)
 
 
-def test_each_upstream_that_is_avoided_is_logged_once() -> None:
+def test_each_avoided_upstream_is_logged_once() -> None:
     lines: list[tuple[str, dict[str, object]]] = []
     sink = logger.add(
         lambda message: lines.append(
             (message.record["message"], message.record["extra"])
         )
     )
-    told = Told()
-    told.others["a/failing"] = told.others["a/trial"] = 3
+    host = SingleHost()
+    host.others["a/failing"] = host.others["a/trial"] = 3
     try:
         for _ in range(3):
-            assert told.words.avoided("abc") == {"a"}
-        told.others.clear()
-        assert told.words.avoided("abc") == set()
+            assert host.shared_health.avoided("abc") == {"a"}
+        host.others.clear()
+        assert host.shared_health.avoided("abc") == set()
     finally:
         logger.remove(sink)
     assert [text for text, _ in lines] == ["avoided", "avoided no more"]
