--- a/bench/placing.py
+++ b/bench/placing.py
@@ -27,7 +27,7 @@
 from balsamlift.peers import Peers, Place, Upstream, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer, prefill_key
-from balsamlift.relay._placing import PlacingPolicy
+from balsamlift.relay._placement_policy import PlacementPolicy
 from balsamlift.relay._rooms import Holding, Rooms
 from balsamlift.relay._scope import Scope
 from balsamlift.testing._engine_model import EngineModel
@@ -101,14 +101,14 @@
         replaces=False,
     ),
 }
-STANDARD = PlacingPolicy()
+STANDARD = PlacementPolicy()
 POLICIES = {
     "stands": STANDARD,
     "prompts not weighed": attrs.evolve(STANDARD, prefill_weight=0.0),
     "prompts weighed 4": attrs.evolve(STANDARD, prefill_weight=4.0),
     "prompts weighed 10": attrs.evolve(STANDARD, prefill_weight=10.0),
-    "filled to 0.9": attrs.evolve(STANDARD, filled_part=0.9),
-    "filled to 1.1": attrs.evolve(STANDARD, filled_part=1.1),
+    "filled to 0.9": attrs.evolve(STANDARD, fill_limit=0.9),
+    "filled to 1.1": attrs.evolve(STANDARD, fill_limit=1.1),
 }
 
 
@@ -175,7 +175,7 @@
     def __init__(
         self,
         law: LoadLaw,
-        policy: PlacingPolicy,
+        policy: PlacementPolicy,
         seed: int,
         length_s: float,
     ) -> None:
@@ -374,7 +374,7 @@
 
 
 def _measure(
-    law: LoadLaw, policy: PlacingPolicy, seeds: int, length_s: float
+    law: LoadLaw, policy: PlacementPolicy, seeds: int, length_s: float
 ) -> dict[str, list[float]]:
     """Return mean and standard error of each part."""
     days = [Day(law, policy, seed, length_s).play() for seed in range(seeds)]
--- a/src/balsamlift/relay/_move_reservation.py
+++ b/src/balsamlift/relay/_move_reservation.py
@@ -61,7 +61,7 @@
         job.tokens,
         tried,
         near_domain=near_domain,
-        filled_part=MOVE_FILL_LIMIT,
+        fill_limit=MOVE_FILL_LIMIT,
     )
     if upstream is None:
         return None
--- a/src/balsamlift/relay/_placing.py
+++ b/src/balsamlift/relay/_placement_policy.py
@@ -6,12 +6,12 @@
 
 
 @attrs.frozen(kw_only=True)
-class PlacingPolicy:
+class PlacementPolicy:
     """Hold limits and weights, as fractions of an engine's memory."""
 
     # Limit for the memory that generations are expected to use by the time
     # they end. All of it may be given out: they do not all end at once.
-    filled_part: float = 1.0
+    fill_limit: float = 1.0
     # Weight of unprocessed prompt tokens relative to memory in use: they
     # delay the first token of every request that follows.
     prefill_weight: float = 1.5
@@ -27,4 +27,4 @@
     uninformed_sample_size: int = 2
 
 
-DEFAULT_POLICY = PlacingPolicy()
+DEFAULT_POLICY = PlacementPolicy()
--- a/src/balsamlift/relay/_rooms.py
+++ b/src/balsamlift/relay/_rooms.py
@@ -11,7 +11,7 @@
 from balsamlift.peers import Upstream
 from balsamlift.relay._balance import Balancer, backup_key, prefill_key
 from balsamlift.relay._configuration import EngineTraits
-from balsamlift.relay._placing import DEFAULT_POLICY, PlacingPolicy
+from balsamlift.relay._placement_policy import DEFAULT_POLICY, PlacementPolicy
 from balsamlift.relay._scope import Scope
 
 # Fill level above which an engine stores no backups: copying them would
@@ -70,7 +70,7 @@
     """Allocate engine memory to generations in order of priority."""
 
     def __init__(
-        self, balancer: Balancer, policy: PlacingPolicy = DEFAULT_POLICY
+        self, balancer: Balancer, policy: PlacementPolicy = DEFAULT_POLICY
     ) -> None:
         """Count memory in tokens, through `balancer`."""
         self._balancer = balancer
@@ -86,7 +86,7 @@
         tokens: int,
         tried: Collection[str] = (),
         near_domain: str = "",
-        filled_part: float | None = None,
+        fill_limit: float | None = None,
     ) -> Upstream | None:
         """Return the best engine with memory for `tokens`, if there is one.
 
@@ -94,9 +94,9 @@
         this host. Fills an engine up to the fraction `fill_limit` of its
         memory, which defaults to that of the policy.
         """
-        if filled_part is None:
-            filled_part = self._policy.filled_part
-        max_load = traits.memory_tokens * filled_part - tokens
+        if fill_limit is None:
+            fill_limit = self._policy.fill_limit
+        max_load = traits.memory_tokens * fill_limit - tokens
         fitting = [
             u
             for u in self._balancer.usable(scope, tried)
@@ -165,7 +165,7 @@
         if self._balancer.is_closed(scope):
             return None
         tokens = min(
-            tokens, int(traits.memory_tokens * self._policy.filled_part)
+            tokens, int(traits.memory_tokens * self._policy.fill_limit)
         )
         if not self._must_wait(scope, priority):
             upstream = self.find(scope, traits, tokens, tried)
--- a/tests/test_relay_fill_limit.py
+++ b/tests/test_relay_fill_limit.py
@@ -20,7 +20,7 @@
 from balsamlift.peers import CountsBasis, Peers, Place, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer
-from balsamlift.relay._placing import DEFAULT_POLICY
+from balsamlift.relay._placement_policy import DEFAULT_POLICY
 from balsamlift.relay._rooms import Holding, Rooms
 
 MEMORY_TOKENS = 21_800
@@ -87,9 +87,9 @@
 class Pool:
     """All engines, with new generations placed up to a fill limit."""
 
-    def __init__(self, filled_part: float, seed: int) -> None:
+    def __init__(self, fill_limit: float, seed: int) -> None:
         self.results = Results()
-        self._filled_part = filled_part
+        self._fill_limit = fill_limit
         self._balancer = Balancer(
             cast(Upstreams, engines_of_one_domain(ENGINES)),
             cast(Peers, SingleHost()),
@@ -125,7 +125,7 @@
     def _start(self, request: Request, now_s: float) -> bool:
         expected = request.prompt_tokens + EXPECTED_OUTPUT_TOKENS
         upstream = self._rooms.find(
-            SCOPE, TRAITS, expected, filled_part=self._filled_part
+            SCOPE, TRAITS, expected, fill_limit=self._fill_limit
         )
         if upstream is None:
             return False
@@ -149,10 +149,10 @@
         )
 
 
-def simulate(filled_part: float, seed: int) -> Results:
+def simulate(fill_limit: float, seed: int) -> Results:
     """Run for two minutes; what waits longer than its target is refused."""
     rng = random.Random(seed)
-    pool = Pool(filled_part, seed)
+    pool = Pool(fill_limit, seed)
     now_s = 0.0
     while now_s < LENGTH_S:
         now_s += rng.expovariate(ARRIVALS_PER_S)
@@ -170,7 +170,7 @@
     time. With 1.1, an engine has exceeded its memory in 8 to 18% of all
     samples; with 1.0, in 1 to 4%.
     """
-    results = simulate(DEFAULT_POLICY.filled_part, seed)
+    results = simulate(DEFAULT_POLICY.fill_limit, seed)
     assert results.admitted >= 0.985 * results.requested
     assert results.overflows <= 0.05 * results.requested * ENGINES
     cautious = simulate(0.9, seed)
--- a/tests/test_relay_move_reservation.py
+++ b/tests/test_relay_move_reservation.py
@@ -19,7 +19,7 @@
     MOVE_FILL_LIMIT,
     reserve_for_move,
 )
-from balsamlift.relay._placing import DEFAULT_POLICY
+from balsamlift.relay._placement_policy import DEFAULT_POLICY
 from balsamlift.relay._rooms import Holding, Rooms
 from balsamlift.relay._tools import Tools
 
@@ -105,7 +105,7 @@
 def test_moves_may_fill_an_engine_further_than_new_generations() -> None:
     """Otherwise a generation is lost if all engines are full at a notice."""
     used = (
-        round(TRAITS.memory_tokens * DEFAULT_POLICY.filled_part) - TOKENS // 2
+        round(TRAITS.memory_tokens * DEFAULT_POLICY.fill_limit) - TOKENS // 2
     )
 
     async def test() -> None:
--- a/tests/test_relay_rooms.py
+++ b/tests/test_relay_rooms.py
@@ -12,11 +12,11 @@
 from balsamlift.peers import CountsBasis, Peers, Place, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer, backup_key
-from balsamlift.relay._placing import DEFAULT_POLICY
+from balsamlift.relay._placement_policy import DEFAULT_POLICY
 from balsamlift.relay._rooms import Holding, Rooms
 
 TRAITS = EngineTraits(memory_tokens=10_000)
-MOST = int(TRAITS.memory_tokens * DEFAULT_POLICY.filled_part)
+MOST = int(TRAITS.memory_tokens * DEFAULT_POLICY.fill_limit)
 
 
 class OtherHosts:
