--- a/bench/placing.py
+++ b/bench/placing.py
@@ -27,8 +27,8 @@
 from balsamlift.peers import Peers, Place, Upstream, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer, prefill_key
+from balsamlift.relay._memory_allocator import Holding, MemoryAllocator
 from balsamlift.relay._placement_policy import PlacementPolicy
-from balsamlift.relay._rooms import Holding, Rooms
 from balsamlift.relay._scope import Scope
 from balsamlift.testing._engine_model import EngineModel
 from balsamlift.testing._engine_types import EngineParameters, Work
@@ -192,7 +192,7 @@
             random.Random(seed),
             "north",
         )
-        self._rooms = Rooms(self._balancer, policy)
+        self._rooms = MemoryAllocator(self._balancer, policy)
         self._models: dict[str, EngineModel] = {}
         self._running: dict[str, dict[str, Generation]] = {}
         self._queue: list[tuple[int, int, Generation]] = []
--- a/src/balsamlift/relay/_backup.py
+++ b/src/balsamlift/relay/_backup.py
@@ -4,7 +4,7 @@
 
 from balsamlift.peers import Upstream
 from balsamlift.relay._job import Job
-from balsamlift.relay._rooms import Holding
+from balsamlift.relay._memory_allocator import Holding
 from balsamlift.relay._tools import Tools
 
 
--- a/src/balsamlift/relay/_generation.py
+++ b/src/balsamlift/relay/_generation.py
@@ -24,9 +24,9 @@
 from balsamlift.relay._exchange import Reply
 from balsamlift.relay._headers import caller_headers
 from balsamlift.relay._job import Job
+from balsamlift.relay._memory_allocator import Holding
 from balsamlift.relay._move import Move
 from balsamlift.relay._request import Responder
-from balsamlift.relay._rooms import Holding
 from balsamlift.relay._tools import Tools
 
 log = logger.bind(part="generations")
--- a/src/balsamlift/relay/_generations.py
+++ b/src/balsamlift/relay/_generations.py
@@ -22,6 +22,7 @@
 from balsamlift.relay._generation import Generation
 from balsamlift.relay._headers import caller_headers
 from balsamlift.relay._job import Job
+from balsamlift.relay._memory_allocator import Holding
 from balsamlift.relay._needs import Need, read_need
 from balsamlift.relay._refusals import (
     give_up,
@@ -31,7 +32,6 @@
 )
 from balsamlift.relay._request import Call, Outcome, Refusal, Responder
 from balsamlift.relay._retries import Retries
-from balsamlift.relay._rooms import Holding
 from balsamlift.relay._tools import Tools
 
 log = logger.bind(part="generations")
--- a/src/balsamlift/relay/_rooms.py
+++ b/src/balsamlift/relay/_memory_allocator.py
@@ -66,7 +66,7 @@
             self._balancer.publish()
 
 
-class Rooms:
+class MemoryAllocator:
     """Allocate engine memory to generations in order of priority."""
 
     def __init__(
@@ -77,7 +77,7 @@
         self._policy = policy
         self._waiting: list[tuple[tuple[int, int], _WaitingRequest]] = []
         self._sequence = itertools.count()
-        balancer.on_release(self.look)
+        balancer.on_release(self.place_waiting)
 
     def find(
         self,
@@ -191,11 +191,11 @@
                 self._waiting.remove(queued)
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """Return the number of waiting generations."""
         return len(self._waiting)
 
-    def look(self) -> None:
+    def place_waiting(self) -> None:
         """Place waiting generations in order of priority."""
         blocked: set[Scope] = set()
         for queued in list(self._waiting):
--- a/src/balsamlift/relay/_move.py
+++ b/src/balsamlift/relay/_move.py
@@ -11,8 +11,8 @@
 from balsamlift.relay._engines import Copy, CopyRefusedError
 from balsamlift.relay._job import Job
 from balsamlift.relay._link_access import LinkAccess
+from balsamlift.relay._memory_allocator import Holding
 from balsamlift.relay._move_reservation import reserve_for_move
-from balsamlift.relay._rooms import Holding
 from balsamlift.relay._termination import estimate_copy_s
 from balsamlift.relay._tools import Tools
 
--- a/src/balsamlift/relay/_move_reservation.py
+++ b/src/balsamlift/relay/_move_reservation.py
@@ -13,7 +13,7 @@
 from collections.abc import Collection
 
 from balsamlift.relay._job import Job
-from balsamlift.relay._rooms import Holding
+from balsamlift.relay._memory_allocator import Holding
 from balsamlift.relay._tools import Tools
 
 # Generations that leave an engine may fill another one further than new ones:
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -24,6 +24,7 @@
 from balsamlift.relay._exchange import Exchange
 from balsamlift.relay._frontend import Frontend
 from balsamlift.relay._generations import Generations
+from balsamlift.relay._memory_allocator import MemoryAllocator
 from balsamlift.relay._plain import PlainCalls
 from balsamlift.relay._pool import ConnectionPool
 from balsamlift.relay._request import (
@@ -34,7 +35,6 @@
     Responder,
 )
 from balsamlift.relay._retries import Retries, RetryLimits
-from balsamlift.relay._rooms import Rooms
 from balsamlift.relay._routing import Routing, Table
 from balsamlift.relay._tools import Tools
 from balsamlift.relay._wire import HeaderNames
@@ -102,7 +102,7 @@
             ),
             self._settings.regions,
         )
-        self._rooms = Rooms(balancer)
+        self._rooms = MemoryAllocator(balancer)
         self._retries = Retries(
             self._settings.retries,
             lambda: len(peers.live()) + 1,
@@ -217,9 +217,9 @@
         while True:
             hears_all = self._peers.hears_all
             await self._clock.sleep(LOOK_S if hears_all else GATHERED_LOOK_S)
-            if self._rooms.waiting:
+            if self._rooms.waiting_count:
                 await self._balancer.refresh()
-                self._rooms.look()
+                self._rooms.place_waiting()
 
     async def _keep_sweeping(self) -> None:
         while True:
--- a/src/balsamlift/relay/_tools.py
+++ b/src/balsamlift/relay/_tools.py
@@ -12,7 +12,7 @@
 from balsamlift.relay._crash_guard import CrashGuard
 from balsamlift.relay._engines import EngineCalls
 from balsamlift.relay._exchange import Exchange
-from balsamlift.relay._rooms import Rooms
+from balsamlift.relay._memory_allocator import MemoryAllocator
 from balsamlift.relay._wire import HeaderNames
 
 
@@ -22,7 +22,7 @@
 
     exchange: Exchange
     balancer: Balancer
-    rooms: Rooms
+    rooms: MemoryAllocator
     engines: EngineCalls
     names: HeaderNames
     metrics: Metrics
--- a/tests/test_relay_fill_limit.py
+++ b/tests/test_relay_fill_limit.py
@@ -20,8 +20,8 @@
 from balsamlift.peers import CountsBasis, Peers, Place, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer
+from balsamlift.relay._memory_allocator import Holding, MemoryAllocator
 from balsamlift.relay._placement_policy import DEFAULT_POLICY
-from balsamlift.relay._rooms import Holding, Rooms
 
 MEMORY_TOKENS = 21_800
 TRAITS = EngineTraits(memory_tokens=MEMORY_TOKENS)
@@ -97,7 +97,7 @@
             random.Random(seed),
             "north",
         )
-        self._rooms = Rooms(self._balancer)
+        self._rooms = MemoryAllocator(self._balancer)
         self._running: set[Running] = set()
         self._ends: list[tuple[float, int, Running]] = []
         self._numbers = itertools.count()
--- a/tests/test_relay_rooms.py
+++ b/tests/test_relay_memory_allocator.py
@@ -12,8 +12,8 @@
 from balsamlift.peers import CountsBasis, Peers, Place, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer, backup_key
+from balsamlift.relay._memory_allocator import Holding, MemoryAllocator
 from balsamlift.relay._placement_policy import DEFAULT_POLICY
-from balsamlift.relay._rooms import Holding, Rooms
 
 TRAITS = EngineTraits(memory_tokens=10_000)
 MOST = int(TRAITS.memory_tokens * DEFAULT_POLICY.fill_limit)
@@ -57,7 +57,7 @@
             random.Random(seed),
             "north",
         )
-        self.rooms = Rooms(self.balancer)
+        self.rooms = MemoryAllocator(self.balancer)
 
     def find(self, tokens: int, **fields: Any) -> str | None:
         found = self.rooms.find(SCOPE, TRAITS, tokens, **fields)
@@ -117,7 +117,7 @@
             "urgent": host.wait(2_000, priority=0),
         }
         await asyncio.sleep(0)
-        assert host.rooms.waiting == 3
+        assert host.rooms.waiting_count == 3
         first.release()
         await asyncio.sleep(0.01)
         # 2,000 and 6,000 of 9,000: the small one does not fit as well.
@@ -139,7 +139,7 @@
         await asyncio.sleep(0)
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        assert host.rooms.waiting == 0
+        assert host.rooms.waiting_count == 0
         first.release()
         assert host.balancer.load("e1") == 0
 
--- a/tests/test_relay_move_reservation.py
+++ b/tests/test_relay_move_reservation.py
@@ -15,12 +15,12 @@
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer
 from balsamlift.relay._job import Job
+from balsamlift.relay._memory_allocator import Holding, MemoryAllocator
 from balsamlift.relay._move_reservation import (
     MOVE_FILL_LIMIT,
     reserve_for_move,
 )
 from balsamlift.relay._placement_policy import DEFAULT_POLICY
-from balsamlift.relay._rooms import Holding, Rooms
 from balsamlift.relay._tools import Tools
 
 TRAITS = EngineTraits(memory_tokens=10_000, can_move=True)
@@ -47,7 +47,9 @@
         rng = random.Random(f"{seed}/{host}")
         # The hosts learn of the notice within a few milliseconds.
         await asyncio.sleep(rng.uniform(0.0, 0.005))
-        tools = Namespace(balancer=balancer, rooms=Rooms(balancer), rng=rng)
+        tools = Namespace(
+            balancer=balancer, rooms=MemoryAllocator(balancer), rng=rng
+        )
         job = Namespace(scope=SCOPE, traits=TRAITS, tokens=TOKENS)
         return await reserve_for_move(
             cast(Tools, tools), cast(Job, job), "north", ()
--- a/tests/test_relay_shared_health.py
+++ b/tests/test_relay_shared_health.py
@@ -15,7 +15,7 @@
 from balsamlift.peers import Peers, Place, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer
-from balsamlift.relay._rooms import Rooms
+from balsamlift.relay._memory_allocator import MemoryAllocator
 from balsamlift.relay._shared_health import (
     FAILURE_TTL_S,
     LOCAL_FAULT_FAILURES,
@@ -72,7 +72,7 @@
             )
             for host in range(hosts)
         ]
-        self.rooms = [Rooms(balancer) for balancer in self.balancers]
+        self.rooms = [MemoryAllocator(balancer) for balancer in self.balancers]
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, length_s: float) -> Results:
@@ -92,7 +92,7 @@
                     self.balancers, self.rooms, strict=True
                 ):
                     balancer.forget_old()
-                    rooms.look()
+                    rooms.place_waiting()
         return self.results
 
     async def _generate(self) -> None:
