--- a/bench/placing.py
+++ b/bench/placing.py
@@ -27,7 +27,10 @@
 from balsamlift.peers import Peers, Place, Upstream, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer, prefill_key
-from balsamlift.relay._memory_allocator import Holding, MemoryAllocator
+from balsamlift.relay._memory_allocator import (
+    MemoryAllocator,
+    MemoryReservation,
+)
 from balsamlift.relay._placement_policy import PlacementPolicy
 from balsamlift.relay._scope import Scope
 from balsamlift.testing._engine_model import EngineModel
@@ -162,8 +165,8 @@
     kind: Kind
     asked_s: float
     output_tokens: int
-    holding: Holding | None = None
-    unread: Holding | None = None
+    holding: MemoryReservation | None = None
+    unread: MemoryReservation | None = None
     made_tokens: int = 0
     seen_s: float | None = None
     is_late: bool = False
@@ -302,8 +305,10 @@
         )
         if not self._models[name].submit(work):
             return False
-        generation.holding = Holding(self._balancer, upstream, tokens)
-        generation.unread = Holding(
+        generation.holding = MemoryReservation(
+            self._balancer, upstream, tokens
+        )
+        generation.unread = MemoryReservation(
             self._balancer, upstream, kind.prompt_tokens, prefill_key
         )
         self._running[name][work.key] = generation
--- a/src/balsamlift/relay/_backup.py
+++ b/src/balsamlift/relay/_backup.py
@@ -4,7 +4,7 @@
 
 from balsamlift.peers import Upstream
 from balsamlift.relay._job import Job
-from balsamlift.relay._memory_allocator import Holding
+from balsamlift.relay._memory_allocator import MemoryReservation
 from balsamlift.relay._tools import Tools
 
 
@@ -19,7 +19,7 @@
         """Start without a backup."""
         self._tools = tools
         self._job = job
-        self._holding: Holding | None = None
+        self._reservation: MemoryReservation | None = None
 
     def choose(self, source: Upstream) -> None:
         """Choose an engine other than `source` that has memory for a copy."""
@@ -27,34 +27,34 @@
         job = self._job
         if not job.traits.can_back_up:
             return
-        self._holding = self._tools.rooms.reserve_backup(
+        self._reservation = self._tools.rooms.reserve_backup(
             job.scope, source, job.traits, job.tokens
         )
 
     @property
     def upstream(self) -> str:
         """Return the name of the backup engine, or "" if there is none."""
-        return self._holding.upstream.name if self._holding else ""
+        return self._reservation.upstream.name if self._reservation else ""
 
     def headers(self) -> list[tuple[str, str]]:
         """Return the headers that name the backup to the running engine."""
-        if self._holding is None:
+        if self._reservation is None:
             return []
         names = self._tools.names
-        return [(names.backup_address, self._holding.upstream.address)]
+        return [(names.backup_address, self._reservation.upstream.address)]
 
     def take(self) -> Upstream | None:
         """Return the backup engine if it stays; release its memory."""
-        holding = self._holding
+        reservation = self._reservation
         self.release()
-        if holding is None:
+        if reservation is None:
             return None
-        if not self._tools.upstreams.may_take_work(holding.upstream.name):
+        if not self._tools.upstreams.may_take_work(reservation.upstream.name):
             return None
-        return holding.upstream
+        return reservation.upstream
 
     def release(self) -> None:
         """Release the reserved memory."""
-        holding, self._holding = self._holding, None
-        if holding is not None:
-            holding.release()
+        reservation, self._reservation = self._reservation, None
+        if reservation is not None:
+            reservation.release()
--- a/src/balsamlift/relay/_generation.py
+++ b/src/balsamlift/relay/_generation.py
@@ -24,7 +24,7 @@
 from balsamlift.relay._exchange import Reply
 from balsamlift.relay._headers import caller_headers
 from balsamlift.relay._job import Job
-from balsamlift.relay._memory_allocator import Holding
+from balsamlift.relay._memory_allocator import MemoryReservation
 from balsamlift.relay._move import Move
 from balsamlift.relay._request import Responder
 from balsamlift.relay._tools import Tools
@@ -65,7 +65,7 @@
         tools: Tools,
         job: Job,
         responder: Responder,
-        holding: Holding,
+        holding: MemoryReservation,
         backup: Backup,
     ) -> None:
         """Prepare to relay to `responder`."""
--- a/src/balsamlift/relay/_generations.py
+++ b/src/balsamlift/relay/_generations.py
@@ -22,7 +22,7 @@
 from balsamlift.relay._generation import Generation
 from balsamlift.relay._headers import caller_headers
 from balsamlift.relay._job import Job
-from balsamlift.relay._memory_allocator import Holding
+from balsamlift.relay._memory_allocator import MemoryReservation
 from balsamlift.relay._needs import Need, read_need
 from balsamlift.relay._refusals import (
     give_up,
@@ -54,7 +54,7 @@
     """Hold an engine's answer and the memory held there."""
 
     reply: Reply
-    holding: Holding
+    holding: MemoryReservation
     backup: Backup
 
 
@@ -132,7 +132,7 @@
             backup = Backup(self._tools, job)
             backup.choose(holding.upstream)
             self._log_placed(call, holding, backup)
-            unread = Holding(
+            unread = MemoryReservation(
                 self._tools.balancer,
                 holding.upstream,
                 job.need.prompt_tokens,
@@ -170,7 +170,7 @@
 
     async def _wait_for_room(
         self, job: Job, tried: set[str]
-    ) -> Holding | None:
+    ) -> MemoryReservation | None:
         """Return room in an engine; None where it comes too late."""
         call = job.call
         target_s = call.route.target_ms / 1_000
@@ -185,7 +185,7 @@
             return None
 
     def _log_placed(
-        self, call: Call, holding: Holding, backup: Backup
+        self, call: Call, holding: MemoryReservation, backup: Backup
     ) -> None:
         waited_s = asyncio.get_running_loop().time() - call.request.arrived_s
         balancer = self._tools.balancer
--- a/src/balsamlift/relay/_memory_allocator.py
+++ b/src/balsamlift/relay/_memory_allocator.py
@@ -30,10 +30,10 @@
     traits: EngineTraits
     tokens: int
     tried: Collection[str]
-    granted: asyncio.Future[Holding | None]
+    granted: asyncio.Future[MemoryReservation | None]
 
 
-class Holding:
+class MemoryReservation:
     """A reservation of one engine's memory for one generation."""
 
     def __init__(
@@ -114,10 +114,10 @@
             return self._policy.uninformed_sample_size
         return None
 
-    def reserve(self, upstream: Upstream, tokens: int) -> Holding:
+    def reserve(self, upstream: Upstream, tokens: int) -> MemoryReservation:
         """Reserve memory of an engine for a request to be sent there now."""
         self._balancer.sending(upstream)
-        return Holding(self._balancer, upstream, tokens)
+        return MemoryReservation(self._balancer, upstream, tokens)
 
     def reserve_backup(
         self,
@@ -125,7 +125,7 @@
         source: Upstream,
         traits: EngineTraits,
         tokens: int,
-    ) -> Holding | None:
+    ) -> MemoryReservation | None:
         """Reserve memory for a backup of a generation on `source`.
 
         Returns None if there is no memory for it. Backups use memory that
@@ -143,7 +143,7 @@
             return None
         # Backups are copied over the whole run, so distance hardly matters.
         upstream = min(fitting, key=self._reserved_tokens)
-        return Holding(self._balancer, upstream, tokens, backup_key)
+        return MemoryReservation(self._balancer, upstream, tokens, backup_key)
 
     def _reserved_tokens(self, upstream: Upstream) -> int:
         load = self._balancer.load
@@ -156,7 +156,7 @@
         tokens: int,
         priority: int,
         tried: Collection[str] = (),
-    ) -> Holding | None:
+    ) -> MemoryReservation | None:
         """Reserve `tokens` of memory as soon as an engine has it free.
 
         A request that is larger than an engine waits for an empty one.
@@ -171,7 +171,7 @@
             upstream = self.find(scope, traits, tokens, tried)
             if upstream is not None:
                 return self.reserve(upstream, tokens)
-        granted: asyncio.Future[Holding | None] = (
+        granted: asyncio.Future[MemoryReservation | None] = (
             asyncio.get_running_loop().create_future()
         )
         entry = _WaitingRequest(scope, traits, tokens, tried, granted)
@@ -182,9 +182,9 @@
             return await granted
         except asyncio.CancelledError:
             if granted.done() and not granted.cancelled():
-                holding = granted.result()
-                if holding is not None:
-                    holding.release()
+                reservation = granted.result()
+                if reservation is not None:
+                    reservation.release()
             raise
         finally:
             if queued in self._waiting:
--- a/src/balsamlift/relay/_move.py
+++ b/src/balsamlift/relay/_move.py
@@ -11,7 +11,7 @@
 from balsamlift.relay._engines import Copy, CopyRefusedError
 from balsamlift.relay._job import Job
 from balsamlift.relay._link_access import LinkAccess
-from balsamlift.relay._memory_allocator import Holding
+from balsamlift.relay._memory_allocator import MemoryReservation
 from balsamlift.relay._move_reservation import reserve_for_move
 from balsamlift.relay._termination import estimate_copy_s
 from balsamlift.relay._tools import Tools
@@ -44,7 +44,7 @@
         self._tools = tools
         self._job = job
         self._source = source
-        self._reservation: Holding | None = None
+        self._reservation: MemoryReservation | None = None
         self._link_access = LinkAccess(
             tools.balancer, tools.engines, source, job.request_id
         )
--- a/src/balsamlift/relay/_move_reservation.py
+++ b/src/balsamlift/relay/_move_reservation.py
@@ -13,7 +13,7 @@
 from collections.abc import Collection
 
 from balsamlift.relay._job import Job
-from balsamlift.relay._memory_allocator import Holding
+from balsamlift.relay._memory_allocator import MemoryReservation
 from balsamlift.relay._tools import Tools
 
 # Generations that leave an engine may fill another one further than new ones:
@@ -32,26 +32,26 @@
 
 async def reserve_for_move(
     tools: Tools, job: Job, near_domain: str, tried: Collection[str]
-) -> Holding | None:
+) -> MemoryReservation | None:
     """Reserve memory that is not overcommitted; None if there is none.
 
     Prefers the failure domain `near_domain` and excludes engines in `tried`.
     """
     max_load = job.traits.memory_tokens * MOVE_FILL_LIMIT
     for _ in range(MAX_CONFLICTS):
-        holding = await _reserve_best(tools, job, near_domain, tried)
-        if holding is None:
+        reservation = await _reserve_best(tools, job, near_domain, tried)
+        if reservation is None:
             return None
-        if tools.balancer.load(holding.upstream.name) <= max_load:
-            return holding
-        holding.release()
+        if tools.balancer.load(reservation.upstream.name) <= max_load:
+            return reservation
+        reservation.release()
         await asyncio.sleep(tools.rng.uniform(0.0, MAX_RETRY_DELAY_S))
     return await _reserve_best(tools, job, near_domain, tried)
 
 
 async def _reserve_best(
     tools: Tools, job: Job, near_domain: str, tried: Collection[str]
-) -> Holding | None:
+) -> MemoryReservation | None:
     """Reserve the best engine and wait until other reservations are known."""
     balancer = tools.balancer
     await balancer.refresh()
@@ -65,11 +65,11 @@
     )
     if upstream is None:
         return None
-    holding = tools.rooms.reserve(upstream, job.tokens)
+    reservation = tools.rooms.reserve(upstream, job.tokens)
     try:
         await asyncio.sleep(SETTLE_S)
         await balancer.refresh()
     except asyncio.CancelledError:
-        holding.release()
+        reservation.release()
         raise
-    return holding
+    return reservation
--- a/tests/test_relay_fill_limit.py
+++ b/tests/test_relay_fill_limit.py
@@ -20,7 +20,10 @@
 from balsamlift.peers import CountsBasis, Peers, Place, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer
-from balsamlift.relay._memory_allocator import Holding, MemoryAllocator
+from balsamlift.relay._memory_allocator import (
+    MemoryAllocator,
+    MemoryReservation,
+)
 from balsamlift.relay._placement_policy import DEFAULT_POLICY
 
 MEMORY_TOKENS = 21_800
@@ -58,7 +61,7 @@
     prompt_tokens: int
     output_tokens: int
     started_s: float
-    holding: Holding
+    reservation: MemoryReservation
 
     def tokens(self, now_s: float) -> float:
         """Return the memory that it actually uses."""
@@ -108,7 +111,7 @@
         while self._ends and self._ends[0][0] <= request.requested_s:
             ended_s, _, ended = heapq.heappop(self._ends)
             self._running.remove(ended)
-            ended.holding.release()
+            ended.reservation.release()
             self._start_waiting(ended_s)
         self.results.requested += 1
         self._waiting.append(request)
@@ -129,9 +132,9 @@
         )
         if upstream is None:
             return False
-        holding = Holding(self._balancer, upstream, expected)
+        reservation = MemoryReservation(self._balancer, upstream, expected)
         running = Running(
-            request.prompt_tokens, request.output_tokens, now_s, holding
+            request.prompt_tokens, request.output_tokens, now_s, reservation
         )
         self._running.add(running)
         end_s = now_s + request.output_tokens * TOKEN_S
@@ -142,7 +145,7 @@
     def _sample_memory(self, now_s: float) -> None:
         used: Counter[str] = Counter()
         for running in self._running:
-            name = running.holding.upstream.name
+            name = running.reservation.upstream.name
             used[name] += round(running.tokens(now_s))
         self.results.overflows += sum(
             tokens > MEMORY_TOKENS for tokens in used.values()
--- a/tests/test_relay_memory_allocator.py
+++ b/tests/test_relay_memory_allocator.py
@@ -12,7 +12,10 @@
 from balsamlift.peers import CountsBasis, Peers, Place, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer, backup_key
-from balsamlift.relay._memory_allocator import Holding, MemoryAllocator
+from balsamlift.relay._memory_allocator import (
+    MemoryAllocator,
+    MemoryReservation,
+)
 from balsamlift.relay._placement_policy import DEFAULT_POLICY
 
 TRAITS = EngineTraits(memory_tokens=10_000)
@@ -63,7 +66,9 @@
         found = self.rooms.find(SCOPE, TRAITS, tokens, **fields)
         return found.name if found else None
 
-    def wait(self, tokens: int, priority: int = 0) -> asyncio.Task[Holding]:
+    def wait(
+        self, tokens: int, priority: int = 0
+    ) -> asyncio.Task[MemoryReservation]:
         return asyncio.create_task(
             self.rooms.wait(SCOPE, TRAITS, tokens, priority)
         )
@@ -95,13 +100,13 @@
 def test_reservations_are_published_immediately() -> None:
     async def test() -> None:
         host = AllocatorOfOneHost(e1="north", e2="north")
-        holding = await host.wait(2_000)
-        name = holding.upstream.name
+        reservation = await host.wait(2_000)
+        name = reservation.upstream.name
         assert host.others.told == [{name: 2_000}]
         other = next(
             u for u in host.balancer.usable(SCOPE, ()) if u.name != name
         )
-        holding.move(other)
+        reservation.move(other)
         assert host.others.told[-1] == {name: 0, other.name: 2_000}
 
     asyncio.run(test())
@@ -158,8 +163,8 @@
     for name in ("source", "e2", "e3"):
         host.others.counts[name] = load
     source = host.balancer.usable(SCOPE, {"e1", "e2", "e3"})[0]
-    holding = host.rooms.reserve_backup(SCOPE, source, TRAITS, 1_000)
-    assert (holding.upstream.name if holding else None) == kept_at
+    reservation = host.rooms.reserve_backup(SCOPE, source, TRAITS, 1_000)
+    assert (reservation.upstream.name if reservation else None) == kept_at
 
 
 def test_backups_in_a_busy_pool_leave_memory_for_generations() -> None:
--- a/tests/test_relay_move_reservation.py
+++ b/tests/test_relay_move_reservation.py
@@ -15,7 +15,10 @@
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer
 from balsamlift.relay._job import Job
-from balsamlift.relay._memory_allocator import Holding, MemoryAllocator
+from balsamlift.relay._memory_allocator import (
+    MemoryAllocator,
+    MemoryReservation,
+)
 from balsamlift.relay._move_reservation import (
     MOVE_FILL_LIMIT,
     reserve_for_move,
@@ -30,13 +33,13 @@
 
 async def reserve_concurrently(
     hosts: int, engines: int, used: int, seed: int
-) -> list[Holding | None]:
+) -> list[MemoryReservation | None]:
     """Let `hosts` hosts reserve memory on engines that use `used` tokens."""
     counts = Counts(hosts)
     counts.by_host[-1] = {f"e{i}": used for i in range(engines)}
     listed = engines_of_one_domain(engines)
 
-    async def reserve(host: int) -> Holding | None:
+    async def reserve(host: int) -> MemoryReservation | None:
         balancer = Balancer(
             cast(Upstreams, listed),
             cast(Peers, HostCounts(counts, host)),
@@ -70,11 +73,11 @@
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        holdings = await reserve_concurrently(
+        reservations = await reserve_concurrently(
             12, engines=8, used=MOST - 2 * TOKENS, seed=seed
         )
         assert loop.time() < 1.0  # the notice is at least 1.5 s
-        placed = Counter(h.upstream.name for h in holdings if h)
+        placed = Counter(h.upstream.name for h in reservations if h)
         assert placed.total() == 12
         assert max(placed.values()) <= 2
 
@@ -84,11 +87,11 @@
 def test_a_single_reservation_is_fast() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        (holding,) = await reserve_concurrently(
+        (reservation,) = await reserve_concurrently(
             1, engines=2, used=MOST - 2 * TOKENS, seed=1
         )
-        assert holding is not None
-        assert holding.tokens == TOKENS
+        assert reservation is not None
+        assert reservation.tokens == TOKENS
         assert loop.time() < 0.06
 
     run_virtual(test)
@@ -96,10 +99,10 @@
 
 def test_nothing_is_reserved_without_free_memory() -> None:
     async def test() -> None:
-        holdings = await reserve_concurrently(
+        reservations = await reserve_concurrently(
             3, engines=2, used=MOST - TOKENS // 2, seed=1
         )
-        assert holdings == [None, None, None]
+        assert reservations == [None, None, None]
 
     run_virtual(test)
 
@@ -111,9 +114,9 @@
     )
 
     async def test() -> None:
-        (holding,) = await reserve_concurrently(
+        (reservation,) = await reserve_concurrently(
             1, engines=1, used=used, seed=1
         )
-        assert holding is not None
+        assert reservation is not None
 
     run_virtual(test)
