--- a/src/balsamlift/relay/_balance.py
+++ b/src/balsamlift/relay/_balance.py
@@ -198,7 +198,7 @@
         region = self._regions.get(upstream.failure_domain, "")
         return scope.allows(region)
 
-    def place_call(
+    def choose_upstream(
         self, scope: Scope, tried: Collection[str]
     ) -> Upstream | None:
         """Return the upstream for a call that is sent there immediately."""
@@ -209,21 +209,21 @@
         self.sending(upstream)
         return upstream
 
-    def saw_success(self, upstream: str) -> None:
+    def record_success(self, upstream: str) -> None:
         """Record a complete answer, or the start of a streamed one."""
         self.health.record_success(upstream)
         self._shared_health.record(
             upstream, self._clock.monotonic(), is_failing=False
         )
 
-    def saw_failure(self, upstream: str) -> None:
+    def record_failure(self, upstream: str) -> None:
         """Record an answer that reports a failed request."""
         self.health.failed(upstream)
         self._shared_health.record(
             upstream, self._clock.monotonic(), is_failing=True
         )
 
-    def saw_break(self, upstream: str) -> float:
+    def eject(self, upstream: str) -> float:
         """Eject an upstream that sent no complete answer.
 
         Returns the duration of the ejection.
--- a/src/balsamlift/relay/_generations.py
+++ b/src/balsamlift/relay/_generations.py
@@ -214,7 +214,7 @@
                 call, attempt, upstream, extra
             )
         except (UpstreamUnreachableError, UpstreamBrokenError) as error:
-            out_s = balancer.saw_break(upstream.name)
+            out_s = balancer.eject(upstream.name)
             log.bind(
                 request=call.request_id,
                 upstream=upstream.name,
@@ -253,9 +253,9 @@
         try:
             if not reply.is_success:
                 if reply.head.status != TIMED_OUT:
-                    self._tools.balancer.saw_failure(reply.upstream.name)
+                    self._tools.balancer.record_failure(reply.upstream.name)
                 return await self._pass_failure(reply, responder)
-            self._tools.balancer.saw_success(reply.upstream.name)
+            self._tools.balancer.record_success(reply.upstream.name)
             outcome = await generation.relay(reply)
             course = generation.course
             log.bind(
--- a/src/balsamlift/relay/_plain.py
+++ b/src/balsamlift/relay/_plain.py
@@ -87,7 +87,7 @@
         while True:
             if self._crash_guard.is_culprit(call):
                 return CRASHING_REQUEST
-            upstream = self._balancer.place_call(call.scope, tried)
+            upstream = self._balancer.choose_upstream(call.scope, tried)
             if upstream is None:
                 now_s = asyncio.get_running_loop().time()
                 return no_upstream(attempt, call, now_s)
@@ -146,18 +146,18 @@
         if reply.meaning != "not_executed":
             self._crash_guard.record_completed(call)
         if reply.meaning == "answer":
-            self._balancer.saw_success(upstream.name)
+            self._balancer.record_success(upstream.name)
         elif reply.meaning == "not_executed":
             self._balancer.health.failed(upstream.name)  # full, not broken
         else:
-            self._balancer.saw_failure(upstream.name)
+            self._balancer.record_failure(upstream.name)
         return _Answer(reply, body)
 
     def _leave_alone(
         self, call: Call, attempt: Attempt, upstream: Upstream, why: str
     ) -> None:
         """Send nothing there for a while, and log for how long."""
-        out_s = self._balancer.saw_break(upstream.name)
+        out_s = self._balancer.eject(upstream.name)
         log.bind(
             request=call.request_id,
             upstream=upstream.name,
--- a/tests/test_relay_shared_health.py
+++ b/tests/test_relay_shared_health.py
@@ -114,12 +114,12 @@
         try:
             if name in self.broken or host in self.cut:
                 await asyncio.sleep(RESET_S)
-                balancer.saw_break(name)
+                balancer.eject(name)
                 if host not in self.cut:
                     results.lost[name] += 1
                 return
             await asyncio.sleep(ANSWER_S)
-            balancer.saw_success(name)
+            balancer.record_success(name)
             await asyncio.sleep(LONG_S if is_long else SHORT_S)
         finally:
             holding.release()
