--- a/src/balsamlift/relay/_balance.py
+++ b/src/balsamlift/relay/_balance.py
@@ -83,7 +83,7 @@
         return self._own_counts[upstream] + self._peers.in_flight(upstream)
 
     @property
-    def hears_all(self) -> bool:
+    def receives_pushed_counts(self) -> bool:
         """Tell whether other hosts push their counts as they change."""
         return self._peers.hears_all
 
@@ -125,7 +125,7 @@
         await self._peers.refresh_counts()
 
     @contextmanager
-    def hold(self, upstream: str, n: int) -> Iterator[None]:
+    def count_in_flight(self, upstream: str, n: int) -> Iterator[None]:
         """Count `n` as in flight while the context is open."""
         self.add(upstream, n)
         try:
@@ -178,7 +178,7 @@
         if self._cold_starts is not None:
             self._cold_starts.sending(upstream)
 
-    def is_closed(self, scope: Scope) -> bool:
+    def is_blocked_by_operators(self, scope: Scope) -> bool:
         """Tell whether operators leave no upstream for a call.
 
         Either by evacuations, or because its route and its workspace have no
@@ -218,7 +218,7 @@
 
     def record_failure(self, upstream: str) -> None:
         """Record an answer that reports a failed request."""
-        self.health.failed(upstream)
+        self.health.record_failure(upstream)
         self._shared_health.record(
             upstream, self._clock.monotonic(), is_failing=True
         )
--- a/src/balsamlift/relay/_generations.py
+++ b/src/balsamlift/relay/_generations.py
@@ -126,7 +126,7 @@
             holding = await self._wait_for_room(job, tried)
             if holding is None:
                 now_s = asyncio.get_running_loop().time()
-                if self._tools.balancer.is_closed(call.scope):
+                if self._tools.balancer.is_blocked_by_operators(call.scope):
                     return no_upstream(attempt, call, now_s)
                 return no_room(attempt, call, now_s)
             backup = Backup(self._tools, job)
--- a/src/balsamlift/relay/_health.py
+++ b/src/balsamlift/relay/_health.py
@@ -38,7 +38,7 @@
         results.ejections = 0
         results.ejected_until_s = 0.0
 
-    def failed(self, upstream: str) -> None:
+    def record_failure(self, upstream: str) -> None:
         """Record an answer that reports a failed request."""
         results = self._results.setdefault(upstream, _Results())
         results.failure_share += FAILURE_WEIGHT * (1 - results.failure_share)
@@ -48,7 +48,7 @@
 
         Returns the duration of the ejection.
         """
-        self.failed(upstream)
+        self.record_failure(upstream)
         results = self._results[upstream]
         doubled: float = FIRST_EJECTION_S * 2.0**results.ejections
         ejection_s = min(doubled, MAX_EJECTION_S)
--- a/src/balsamlift/relay/_link_access.py
+++ b/src/balsamlift/relay/_link_access.py
@@ -65,7 +65,7 @@
     def hold(self) -> Iterator[None]:
         """Report the link as in use while the context is open."""
         try:
-            with self._balancer.hold(self._link, 1):
+            with self._balancer.count_in_flight(self._link, 1):
                 self._balancer.publish()
                 yield
         finally:
@@ -94,7 +94,9 @@
 
     async def _wait_until_free(self) -> None:
         loop = asyncio.get_running_loop()
-        poll_s = POLL_S if self._balancer.hears_all else REMOTE_POLL_S
+        poll_s = (
+            POLL_S if self._balancer.receives_pushed_counts else REMOTE_POLL_S
+        )
         while await self._is_busy():
             await asyncio.sleep(poll_s)
             if loop.time() >= self._next_report_s:
--- a/src/balsamlift/relay/_memory_allocator.py
+++ b/src/balsamlift/relay/_memory_allocator.py
@@ -162,7 +162,7 @@
         A request that is larger than an engine waits for an empty one.
         Returns None immediately if evacuations leave no engine for it.
         """
-        if self._balancer.is_closed(scope):
+        if self._balancer.is_blocked_by_operators(scope):
             return None
         tokens = min(
             tokens, int(traits.memory_tokens * self._policy.fill_limit)
@@ -208,7 +208,7 @@
             if upstream is not None:
                 self._waiting.remove(queued)
                 entry.granted.set_result(self.reserve(upstream, entry.tokens))
-            elif self._balancer.is_closed(entry.scope):
+            elif self._balancer.is_blocked_by_operators(entry.scope):
                 self._waiting.remove(queued)
                 entry.granted.set_result(None)
             else:
--- a/src/balsamlift/relay/_plain.py
+++ b/src/balsamlift/relay/_plain.py
@@ -123,7 +123,7 @@
             left_s = call.give_up_s - loop.time()
             bound_s = loop.time() + left_s * TRY_PART
         try:
-            with self._balancer.hold(upstream.name, 1):
+            with self._balancer.count_in_flight(upstream.name, 1):
                 async with asyncio.timeout_at(bound_s):
                     reply = await self._exchange.send(call, attempt, upstream)
                     body = await self._exchange.read_whole(
@@ -148,7 +148,9 @@
         if reply.meaning == "answer":
             self._balancer.record_success(upstream.name)
         elif reply.meaning == "not_executed":
-            self._balancer.health.failed(upstream.name)  # full, not broken
+            self._balancer.health.record_failure(
+                upstream.name
+            )  # full, not broken
         else:
             self._balancer.record_failure(upstream.name)
         return _Answer(reply, body)
