--- a/src/balsamlift/relay/_balance.py
+++ b/src/balsamlift/relay/_balance.py
@@ -15,7 +15,7 @@
 
 from balsamlift.clock import Clock
 from balsamlift.peers import CountsBasis, Peers, Upstream, Upstreams
-from balsamlift.relay._cold_starts import ColdStarts
+from balsamlift.relay._cold_starts import ColdStartLimiter
 from balsamlift.relay._health import UpstreamHealth
 from balsamlift.relay._scope import Scope
 from balsamlift.relay._shared_health import SharedHealth
@@ -53,7 +53,7 @@
         clock: Clock,
         rng: random.Random,
         failure_domain: str,
-        cold_starts: ColdStarts | None = None,
+        cold_starts: ColdStartLimiter | None = None,
         regions: Mapping[str, str] | None = None,
     ) -> None:
         """Add the counts received by `peers` to those of this host.
@@ -173,10 +173,10 @@
     def _allows_cold_start(self, upstream: Upstream) -> bool:
         return self._cold_starts is None or self._cold_starts.allows(upstream)
 
-    def sending(self, upstream: Upstream) -> None:
+    def record_send(self, upstream: Upstream) -> None:
         """Count a send towards the limit of a cold upstream."""
         if self._cold_starts is not None:
-            self._cold_starts.sending(upstream)
+            self._cold_starts.record_send(upstream)
 
     def is_blocked_by_operators(self, scope: Scope) -> bool:
         """Tell whether operators leave no upstream for a call.
@@ -206,7 +206,7 @@
         if not choices:
             return None
         upstream = min(choices, key=self._call_cost)
-        self.sending(upstream)
+        self.record_send(upstream)
         return upstream
 
     def record_success(self, upstream: str) -> None:
@@ -239,7 +239,7 @@
             self._shared_health.reports(upstream).failure_share,
         )
 
-    def forget_old(self) -> None:
+    def discard_expired(self) -> None:
         """Discard expired observations; called every second."""
         live = {upstream.name for upstream in self._upstreams.all()}
         self._shared_health.expire(self._clock.monotonic(), live)
--- a/src/balsamlift/relay/_cold_starts.py
+++ b/src/balsamlift/relay/_cold_starts.py
@@ -44,7 +44,7 @@
     return quotient + (place.position < remainder)
 
 
-class ColdStarts:
+class ColdStartLimiter:
     """Limit the requests from this host to cold upstreams."""
 
     def __init__(
@@ -81,7 +81,7 @@
         share = host_share(place, tolerated_per_s, self._limits)
         return self._recent_sends(upstream.name, now_s) < share
 
-    def sending(self, upstream: Upstream) -> None:
+    def record_send(self, upstream: Upstream) -> None:
         """Count a request that is about to be sent."""
         if self._limits is not None:
             times = self._send_times.setdefault(upstream.name, deque())
--- a/src/balsamlift/relay/_crash_guard.py
+++ b/src/balsamlift/relay/_crash_guard.py
@@ -76,7 +76,7 @@
                 self._reports.report_completed(report.fingerprint)
         self._update_culprits()
 
-    def forget_old(self) -> None:
+    def discard_expired(self) -> None:
         """Discard expired reports; called every second."""
         if self._reported:
             self._update_culprits()
--- a/src/balsamlift/relay/_generation.py
+++ b/src/balsamlift/relay/_generation.py
@@ -293,7 +293,7 @@
         # It is the same run: it stops at the one engine as it goes on at
         # the other.
         attempt = Attempt(is_idempotent=False)
-        self._tools.balancer.sending(upstream)
+        self._tools.balancer.record_send(upstream)
         with suppress(
             UpstreamUnreachableError, UpstreamBrokenError, TimeoutError
         ):
--- a/src/balsamlift/relay/_memory_allocator.py
+++ b/src/balsamlift/relay/_memory_allocator.py
@@ -116,7 +116,7 @@
 
     def reserve(self, upstream: Upstream, tokens: int) -> MemoryReservation:
         """Reserve memory of an engine for a request to be sent there now."""
-        self._balancer.sending(upstream)
+        self._balancer.record_send(upstream)
         return MemoryReservation(self._balancer, upstream, tokens)
 
     def reserve_backup(
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -17,7 +17,7 @@
 from balsamlift.peers import Peers, Upstreams
 from balsamlift.relay._admission import Admission
 from balsamlift.relay._balance import Balancer
-from balsamlift.relay._cold_starts import ColdLimits, ColdStarts
+from balsamlift.relay._cold_starts import ColdLimits, ColdStartLimiter
 from balsamlift.relay._crash_guard import CrashGuard
 from balsamlift.relay._doubts import Doubts
 from balsamlift.relay._engines import EngineCalls
@@ -94,7 +94,7 @@
             self._clock,
             self._random,
             self._settings.failure_domain,
-            ColdStarts(
+            ColdStartLimiter(
                 self._settings.cold_limits,
                 routing.cold_per_s,
                 peers.known_place_for,
@@ -225,5 +225,5 @@
         while True:
             await self._clock.sleep(SWEEP_S)
             self._pool.sweep({u.name for u in self._upstreams.all()})
-            self._balancer.forget_old()
-            self._crash_guard.forget_old()
+            self._balancer.discard_expired()
+            self._crash_guard.discard_expired()
--- a/tests/test_relay_cold_starts.py
+++ b/tests/test_relay_cold_starts.py
@@ -15,7 +15,7 @@
 from balsamlift.relay._cold_starts import (
     MEMBERSHIP_GROUPS,
     STARTUP_S,
-    ColdStarts,
+    ColdStartLimiter,
     host_share,
 )
 from balsamlift.testing.relay import (
@@ -98,14 +98,14 @@
             known = set(view(number, loop.time())) - {own}
             return find_place(own, known, subject)
 
-        cold_starts = ColdStarts(
+        limiter = ColdStartLimiter(
             LIMITS, lambda pool: tolerated_per_s, place, LoopClock()
         )
         cold = upstream(cold_until_s=100.0)
         while loop.time() < STARTUP_S + LENGTH_S:
             await asyncio.sleep(rng.expovariate(200 / hosts))
-            if cold_starts.allows(cold):
-                cold_starts.sending(cold)
+            if limiter.allows(cold):
+                limiter.record_send(cold)
                 arrived.append(loop.time() + rng.uniform(0, MAX_DELAY_S))
 
     async def main() -> None:
@@ -136,22 +136,26 @@
             return Place(0, 1)
 
         cold = upstream(cold_until_s=50.0)
-        unlimited = ColdStarts(None, lambda pool: 0.0, place, LoopClock())
-        without_tolerance = ColdStarts(
+        unlimited = ColdStartLimiter(
+            None, lambda pool: 0.0, place, LoopClock()
+        )
+        without_tolerance = ColdStartLimiter(
             LIMITS, lambda pool: None, place, LoopClock()
         )
-        limited = ColdStarts(LIMITS, lambda pool: 0.0, place, LoopClock())
+        limited = ColdStartLimiter(
+            LIMITS, lambda pool: 0.0, place, LoopClock()
+        )
         assert unlimited.allows(cold)
         assert without_tolerance.allows(cold)
         assert not limited.allows(cold)  # other hosts are not known yet
         await asyncio.sleep(STARTUP_S)
         assert limited.allows(cold)
-        limited.sending(cold)
+        limited.record_send(cold)
         assert not limited.allows(cold)
         await asyncio.sleep(50.0)
         for _ in range(20):
             assert limited.allows(cold)
-            limited.sending(cold)
+            limited.record_send(cold)
         again = upstream(cold_until_s=70.0)  # cold again
         assert not limited.allows(again)
 
--- a/tests/test_relay_shared_health.py
+++ b/tests/test_relay_shared_health.py
@@ -91,7 +91,7 @@
                 for balancer, rooms in zip(
                     self.balancers, self.rooms, strict=True
                 ):
-                    balancer.forget_old()
+                    balancer.discard_expired()
                     rooms.place_waiting()
         return self.results
 
