--- a/src/balsamlift/relay/_doubts.py
+++ b/src/balsamlift/relay/_leaving_detector.py
@@ -15,7 +15,7 @@
 REPORT_SOURCE = "report"
 
 
-class Doubts:
+class LeavingDetector:
     """Detect leaving engines from their reports.
 
     The platform charges for reports, so only engines that run work of this
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -19,11 +19,11 @@
 from balsamlift.relay._balance import Balancer
 from balsamlift.relay._cold_starts import ColdLimits, ColdStartLimiter
 from balsamlift.relay._crash_guard import CrashGuard
-from balsamlift.relay._doubts import Doubts
 from balsamlift.relay._engines import EngineCalls
 from balsamlift.relay._exchange import Exchange
 from balsamlift.relay._frontend import Frontend
 from balsamlift.relay._generations import Generations
+from balsamlift.relay._leaving_detector import LeavingDetector
 from balsamlift.relay._memory_allocator import MemoryAllocator
 from balsamlift.relay._plain import PlainCalls
 from balsamlift.relay._pool import ConnectionPool
@@ -134,7 +134,7 @@
         self._generations = Generations(
             tools, self._admission, self._retries, self._upstreams
         )
-        self._doubts = Doubts(
+        self._doubts = LeavingDetector(
             self._upstreams,
             self._engines,
             self._clock,
