--- a/src/balsamlift/relay/_generations.py
+++ b/src/balsamlift/relay/_generations.py
@@ -23,7 +23,6 @@
 from balsamlift.relay._headers import caller_headers
 from balsamlift.relay._job import Job
 from balsamlift.relay._memory_allocator import MemoryReservation
-from balsamlift.relay._needs import Need, read_need
 from balsamlift.relay._refusals import (
     give_up,
     no_room,
@@ -32,6 +31,7 @@
 )
 from balsamlift.relay._request import Call, Outcome, Refusal, Responder
 from balsamlift.relay._retries import Retries
+from balsamlift.relay._token_estimate import TokenEstimate, read_token_estimate
 from balsamlift.relay._tools import Tools
 
 log = logger.bind(part="generations")
@@ -81,7 +81,7 @@
         """Begin only what is expected to end by then, on the loop's clock."""
         self._leaves_s = by_s
 
-    def _fits_before_leaving(self, need: Need) -> bool:
+    def _fits_before_leaving(self, need: TokenEstimate) -> bool:
         if self._leaves_s is None:
             return True
         left_s = self._leaves_s - asyncio.get_running_loop().time()
@@ -91,7 +91,7 @@
     async def run(self, call: Call, responder: Responder) -> Outcome:
         """Answer the caller; return the outcome for the log."""
         attempt = Attempt(is_idempotent=False)
-        need = read_need(call.request.headers, self._tools.names)
+        need = read_token_estimate(call.request.headers, self._tools.names)
         if not self._fits_before_leaving(need):
             # Another host will finish it; this one would have to cut it off.
             refusal = give_up(attempt, "host is leaving", 0)
@@ -135,7 +135,7 @@
             unread = MemoryReservation(
                 self._tools.balancer,
                 holding.upstream,
-                job.need.prompt_tokens,
+                job.estimate.prompt_tokens,
                 prefill_key,
             )
             try:
@@ -265,8 +265,8 @@
                 gap_ms=course.gap_ms,
                 moves=course.moves,
                 events=course.events,
-                prompt_tokens=job.need.prompt_tokens,
-                output_tokens=job.need.output_tokens,
+                prompt_tokens=job.estimate.prompt_tokens,
+                output_tokens=job.estimate.output_tokens,
             ).info("stream: {}", outcome)
             return outcome
         finally:
--- a/src/balsamlift/relay/_job.py
+++ b/src/balsamlift/relay/_job.py
@@ -5,9 +5,9 @@
 import attrs
 
 from balsamlift.relay._configuration import EngineTraits
-from balsamlift.relay._needs import Need
 from balsamlift.relay._request import Call
 from balsamlift.relay._scope import Scope
+from balsamlift.relay._token_estimate import TokenEstimate
 
 
 @attrs.frozen
@@ -15,7 +15,7 @@
     """A call for a generation, with its token estimate and engine traits."""
 
     call: Call
-    need: Need
+    estimate: TokenEstimate
     traits: EngineTraits  # of the engines of its service
 
     @property
@@ -31,4 +31,4 @@
     @property
     def tokens(self) -> int:
         """Return the memory expected to be in use when it ends."""
-        return self.need.tokens
+        return self.estimate.tokens
--- a/src/balsamlift/relay/_needs.py
+++ b/src/balsamlift/relay/_token_estimate.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class Need:
+class TokenEstimate:
     """The prompt tokens and expected output tokens of a generation."""
 
     prompt_tokens: int
@@ -32,14 +32,16 @@
         return self.prompt_tokens + self.output_tokens
 
 
-def read_need(headers: HTTPHeaders, names: HeaderNames) -> Need:
+def read_token_estimate(
+    headers: HTTPHeaders, names: HeaderNames
+) -> TokenEstimate:
     """Return the estimate from a caller's headers; 0 where they are absent."""
     prompt, _, limit = headers.get(names.token_usage, "").partition(",")
     prompt_tokens = _parse_count(prompt)
     max_output = _parse_count(limit)
     hint = _parse_count(headers.get(names.length_hint, ""))
     output_tokens = _estimate_output(hint, max_output)
-    return Need(prompt_tokens, output_tokens, max_output)
+    return TokenEstimate(prompt_tokens, output_tokens, max_output)
 
 
 def _estimate_output(hint: int, limit: int) -> int:
--- a/tests/test_relay_needs.py
+++ b/tests/test_relay_token_estimate.py
@@ -3,7 +3,7 @@
 import pytest
 from tornado.httputil import HTTPHeaders
 
-from balsamlift.relay._needs import read_need
+from balsamlift.relay._token_estimate import read_token_estimate
 from balsamlift.testing.relay import NAMES
 
 # Length hints and actual lengths of answers limited to 2,224 tokens.
@@ -51,7 +51,7 @@
     ],
 )
 def test_reads_the_estimate_from_headers(usage, hint, expected) -> None:
-    need = read_need(headers(usage, hint), NAMES)
+    need = read_token_estimate(headers(usage, hint), NAMES)
     assert (need.prompt_tokens, need.output_tokens) == expected
 
 
@@ -60,7 +60,12 @@
         return abs(expected - length)
 
     ours = [
-        error(read_need(headers(f"1,{MOST}", str(h)), NAMES).output_tokens, n)
+        error(
+            read_token_estimate(
+                headers(f"1,{MOST}", str(h)), NAMES
+            ).output_tokens,
+            n,
+        )
         for h, n in HINTED
     ]
     callers = [error(min(h * 1.3, MOST), n) for h, n in HINTED]
@@ -70,7 +75,7 @@
 
 def test_the_sum_of_estimates_is_close_to_the_actual_sum() -> None:
     expected = sum(
-        read_need(headers(f"1,{MOST}", str(h)), NAMES).output_tokens
+        read_token_estimate(headers(f"1,{MOST}", str(h)), NAMES).output_tokens
         for h, _ in HINTED
     )
     actual = sum(n for _, n in HINTED)
