--- a/src/balsamlift/relay/__init__.py
+++ b/src/balsamlift/relay/__init__.py
@@ -22,7 +22,7 @@
     Run,
 )
 from balsamlift.relay._frontend import FIRST_LIMITS, Frontend
-from balsamlift.relay._retries import RetryLimits
+from balsamlift.relay._retry_budget import RetryLimits
 from balsamlift.relay._routing import Routing
 from balsamlift.relay._service import Relay, RelaySettings
 from balsamlift.relay._wire import HeaderNames
--- a/src/balsamlift/relay/_generations.py
+++ b/src/balsamlift/relay/_generations.py
@@ -30,7 +30,7 @@
     timed_out,
 )
 from balsamlift.relay._request import Call, Outcome, Refusal, Responder
-from balsamlift.relay._retries import Retries
+from balsamlift.relay._retry_budget import RetryBudget
 from balsamlift.relay._token_estimate import TokenEstimate, read_token_estimate
 from balsamlift.relay._tools import Tools
 
@@ -65,7 +65,7 @@
         self,
         tools: Tools,
         admission: Admission,
-        retries: Retries,
+        retries: RetryBudget,
         upstreams: Upstreams,
     ) -> None:
         """Watch `upstreams` for engines that leave."""
--- a/src/balsamlift/relay/_plain.py
+++ b/src/balsamlift/relay/_plain.py
@@ -24,7 +24,7 @@
     timed_out,
 )
 from balsamlift.relay._request import Call, Outcome, Refusal, Responder
-from balsamlift.relay._retries import Retries
+from balsamlift.relay._retry_budget import RetryBudget
 
 log = logger.bind(part="calls")
 
@@ -50,7 +50,7 @@
         exchange: Exchange,
         balancer: Balancer,
         admission: Admission,
-        retries: Retries,
+        retries: RetryBudget,
         crash_guard: CrashGuard,
     ) -> None:
         """Send through `exchange` to upstreams that `balancer` picks."""
--- a/src/balsamlift/relay/_retries.py
+++ b/src/balsamlift/relay/_retry_budget.py
@@ -48,7 +48,7 @@
         return len(self._requests), len(self._retries)
 
 
-class Retries:
+class RetryBudget:
     """Allow retries from this host's requests and its share of the extra.
 
     A host that has just started may replace one that spent its share within
@@ -65,7 +65,7 @@
         self._started_s = clock.monotonic()
         self._windows: dict[str, _Window] = {}
 
-    def requested(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a request for a service."""
         self._window(service).add_request(self._clock.monotonic())
 
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -34,7 +34,7 @@
     Refusal,
     Responder,
 )
-from balsamlift.relay._retries import Retries, RetryLimits
+from balsamlift.relay._retry_budget import RetryBudget, RetryLimits
 from balsamlift.relay._routing import Routing, Table
 from balsamlift.relay._tools import Tools
 from balsamlift.relay._wire import HeaderNames
@@ -103,7 +103,7 @@
             self._settings.regions,
         )
         self._rooms = MemoryAllocator(balancer)
-        self._retries = Retries(
+        self._retries = RetryBudget(
             self._settings.retries,
             lambda: len(peers.live()) + 1,
             self._clock,
@@ -178,7 +178,7 @@
             self._log_outcome(admitted, outcome)
 
     async def _run(self, call: Call, responder: Responder) -> Outcome:
-        self._retries.requested(call.service)
+        self._retries.record_request(call.service)
         if call.route.kind == "stream":
             return await self._generations.run(call, responder)
         return await self._plain.run(call, responder)
