--- a/src/balsamlift/relay/_admission.py
+++ b/src/balsamlift/relay/_admission.py
@@ -9,7 +9,7 @@
 from balsamlift.relay._fingerprint import fingerprint
 from balsamlift.relay._request import Call, CallerRequest, Refusal
 from balsamlift.relay._routing import Routing, Table, pick_service
-from balsamlift.relay._scope import bound_regions
+from balsamlift.relay._scope import intersect_regions
 from balsamlift.relay._wire import HeaderNames
 
 # A host that has just started knows a configuration at once, or has to wait
@@ -153,5 +153,5 @@
 ) -> frozenset[str] | None:
     """Return where a call may run; None: anywhere."""
     if workspace is None:
-        return bound_regions(route.regions)
-    return bound_regions(route.regions, workspace.regions)
+        return intersect_regions(route.regions)
+    return intersect_regions(route.regions, workspace.regions)
--- a/src/balsamlift/relay/_routing.py
+++ b/src/balsamlift/relay/_routing.py
@@ -18,7 +18,7 @@
     Service,
     Workspace,
 )
-from balsamlift.relay._scope import bound_regions
+from balsamlift.relay._scope import intersect_regions
 
 log = logger.bind(part="routing")
 
@@ -64,7 +64,7 @@
     def regions_of(self, host: str) -> frozenset[str] | None:
         """Return where all routes of a host name may run; None: anywhere."""
         routes = self._routes.get(host.lower(), {})
-        return bound_regions(*(route.regions for route in routes.values()))
+        return intersect_regions(*(route.regions for route in routes.values()))
 
     def find_workspace(self, key: str) -> Workspace | None:
         """Return the workspace that holds a key."""
--- a/src/balsamlift/relay/_scope.py
+++ b/src/balsamlift/relay/_scope.py
@@ -17,14 +17,14 @@
         return self.regions is None or region in self.regions
 
 
-def bound_regions(*restrictions: frozenset[str]) -> frozenset[str] | None:
+def intersect_regions(*restrictions: frozenset[str]) -> frozenset[str] | None:
     """Return the regions permitted by every restriction.
 
     The route and the workspace of a call may each restrict its regions. An
     empty set is no restriction; returns None if all are empty.
     """
-    bound: frozenset[str] | None = None
+    permitted: frozenset[str] | None = None
     for regions in restrictions:
         if regions:
-            bound = regions if bound is None else bound & regions
-    return bound
+            permitted = regions if permitted is None else permitted & regions
+    return permitted
--- a/tests/test_relay_regions.py
+++ b/tests/test_relay_regions.py
@@ -10,7 +10,7 @@
 
 from balsamlift.kernel import Kernel
 from balsamlift.relay import Caller, Directory, Workspace
-from balsamlift.relay._scope import bound_regions
+from balsamlift.relay._scope import intersect_regions
 from balsamlift.testing.relay import (
     HOST,
     KEY,
@@ -35,7 +35,7 @@
     ],
 )
 def test_route_and_workspace_both_restrict_regions(regions, expected) -> None:
-    assert bound_regions(*map(frozenset, regions)) == expected
+    assert intersect_regions(*map(frozenset, regions)) == expected
 
 
 @pytest.mark.parametrize(
