--- a/tests/test_relay_memory_allocator.py
+++ b/tests/test_relay_memory_allocator.py
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.told: list[dict[str, int]] = []
+        self.published: list[dict[str, int]] = []
         self._own: dict[str, int] = {}
 
     def in_flight(self, upstream: str) -> int:
@@ -45,7 +45,7 @@
         pass
 
     def tell_counts(self) -> None:
-        self.told.append(dict(self._own))
+        self.published.append(dict(self._own))
 
 
 class AllocatorOfOneHost:
@@ -60,17 +60,17 @@
             random.Random(seed),
             "north",
         )
-        self.rooms = MemoryAllocator(self.balancer)
+        self.allocator = MemoryAllocator(self.balancer)
 
     def find(self, tokens: int, **fields: Any) -> str | None:
-        found = self.rooms.find(SCOPE, TRAITS, tokens, **fields)
+        found = self.allocator.find(SCOPE, TRAITS, tokens, **fields)
         return found.name if found else None
 
     def wait(
         self, tokens: int, priority: int = 0
     ) -> asyncio.Task[MemoryReservation]:
         return asyncio.create_task(
-            self.rooms.wait(SCOPE, TRAITS, tokens, priority)
+            self.allocator.wait(SCOPE, TRAITS, tokens, priority)
         )
 
 
@@ -102,12 +102,12 @@
         host = AllocatorOfOneHost(e1="north", e2="north")
         reservation = await host.wait(2_000)
         name = reservation.upstream.name
-        assert host.others.told == [{name: 2_000}]
+        assert host.others.published == [{name: 2_000}]
         other = next(
             u for u in host.balancer.usable(SCOPE, ()) if u.name != name
         )
         reservation.move(other)
-        assert host.others.told[-1] == {name: 0, other.name: 2_000}
+        assert host.others.published[-1] == {name: 0, other.name: 2_000}
 
     asyncio.run(test())
 
@@ -122,7 +122,7 @@
             "urgent": host.wait(2_000, priority=0),
         }
         await asyncio.sleep(0)
-        assert host.rooms.waiting_count == 3
+        assert host.allocator.waiting_count == 3
         first.release()
         await asyncio.sleep(0.01)
         # 2,000 and 6,000 of 9,000: the small one does not fit as well.
@@ -144,7 +144,7 @@
         await asyncio.sleep(0)
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        assert host.rooms.waiting_count == 0
+        assert host.allocator.waiting_count == 0
         first.release()
         assert host.balancer.load("e1") == 0
 
@@ -163,7 +163,7 @@
     for name in ("source", "e2", "e3"):
         host.others.counts[name] = load
     source = host.balancer.usable(SCOPE, {"e1", "e2", "e3"})[0]
-    reservation = host.rooms.reserve_backup(SCOPE, source, TRAITS, 1_000)
+    reservation = host.allocator.reserve_backup(SCOPE, source, TRAITS, 1_000)
     assert (reservation.upstream.name if reservation else None) == kept_at
 
 
@@ -176,9 +176,9 @@
         host.others.counts[name] = 8_000
     source = host.balancer.usable(SCOPE, {"e1", "e2", "e3"})[0]
     for _ in range(30):
-        host.rooms.reserve_backup(SCOPE, source, TRAITS, 1_000)
+        host.allocator.reserve_backup(SCOPE, source, TRAITS, 1_000)
     kept = host.balancer.load(backup_key("e1"))
-    assert kept <= 2_000  # half of the engine, 5_000, is too much
+    assert kept <= 2_000  # 5_000, half of it, without pool limit
 
 
 READ_TOKENS_PER_S = 14_000
--- a/tests/test_relay_shared_health.py
+++ b/tests/test_relay_shared_health.py
@@ -72,7 +72,9 @@
             )
             for host in range(hosts)
         ]
-        self.rooms = [MemoryAllocator(balancer) for balancer in self.balancers]
+        self.allocators = [
+            MemoryAllocator(balancer) for balancer in self.balancers
+        ]
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, length_s: float) -> Results:
@@ -88,29 +90,29 @@
             task.add_done_callback(self._tasks.discard)
             if loop.time() - swept_s > 1.0:
                 swept_s = loop.time()
-                for balancer, rooms in zip(
-                    self.balancers, self.rooms, strict=True
+                for balancer, allocator in zip(
+                    self.balancers, self.allocators, strict=True
                 ):
                     balancer.discard_expired()
-                    rooms.place_waiting()
+                    allocator.place_waiting()
         return self.results
 
     async def _generate(self) -> None:
         results = self.results
         results.started += 1
         host = self.rng.randrange(len(self.balancers))
-        balancer, rooms = self.balancers[host], self.rooms[host]
+        balancer, allocator = self.balancers[host], self.allocators[host]
         is_long = self.rng.random() < 0.34
         tokens = LONG_TOKENS if is_long else SHORT_TOKENS
         try:
             async with asyncio.timeout(WAIT_S):
                 await balancer.refresh()
-                holding = await rooms.wait(SCOPE, TRAITS, tokens, 0)
+                reservation = await allocator.wait(SCOPE, TRAITS, tokens, 0)
         except TimeoutError:
             results.refused += 1
             return
-        assert holding is not None
-        name = holding.upstream.name
+        assert reservation is not None
+        name = reservation.upstream.name
         try:
             if name in self.broken or host in self.cut:
                 await asyncio.sleep(RESET_S)
@@ -122,7 +124,7 @@
             balancer.record_success(name)
             await asyncio.sleep(LONG_S if is_long else SHORT_S)
         finally:
-            holding.release()
+            reservation.release()
 
     def stop(self) -> None:
         for task in self._tasks:
