--- a/bench/placing.py
+++ b/bench/placing.py
@@ -27,8 +27,11 @@
 from balsamlift.peers import Peers, Place, Upstream, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer, prefill_key
-from balsamlift.relay._placing import PlacingPolicy
-from balsamlift.relay._rooms import Holding, Rooms
+from balsamlift.relay._memory_allocator import (
+    MemoryAllocator,
+    MemoryReservation,
+)
+from balsamlift.relay._placement_policy import PlacementPolicy
 from balsamlift.relay._scope import Scope
 from balsamlift.testing._engine_model import EngineModel
 from balsamlift.testing._engine_types import EngineParameters, Work
@@ -101,14 +104,14 @@
         replaces=False,
     ),
 }
-STANDARD = PlacingPolicy()
+STANDARD = PlacementPolicy()
 POLICIES = {
     "stands": STANDARD,
     "prompts not weighed": attrs.evolve(STANDARD, prefill_weight=0.0),
     "prompts weighed 4": attrs.evolve(STANDARD, prefill_weight=4.0),
     "prompts weighed 10": attrs.evolve(STANDARD, prefill_weight=10.0),
-    "filled to 0.9": attrs.evolve(STANDARD, filled_part=0.9),
-    "filled to 1.1": attrs.evolve(STANDARD, filled_part=1.1),
+    "filled to 0.9": attrs.evolve(STANDARD, fill_limit=0.9),
+    "filled to 1.1": attrs.evolve(STANDARD, fill_limit=1.1),
 }
 
 
@@ -162,8 +165,8 @@
     kind: Kind
     asked_s: float
     output_tokens: int
-    holding: Holding | None = None
-    unread: Holding | None = None
+    holding: MemoryReservation | None = None
+    unread: MemoryReservation | None = None
     made_tokens: int = 0
     seen_s: float | None = None
     is_late: bool = False
@@ -175,7 +178,7 @@
     def __init__(
         self,
         law: LoadLaw,
-        policy: PlacingPolicy,
+        policy: PlacementPolicy,
         seed: int,
         length_s: float,
     ) -> None:
@@ -192,7 +195,7 @@
             random.Random(seed),
             "north",
         )
-        self._rooms = Rooms(self._balancer, policy)
+        self._rooms = MemoryAllocator(self._balancer, policy)
         self._models: dict[str, EngineModel] = {}
         self._running: dict[str, dict[str, Generation]] = {}
         self._queue: list[tuple[int, int, Generation]] = []
@@ -302,8 +305,10 @@
         )
         if not self._models[name].submit(work):
             return False
-        generation.holding = Holding(self._balancer, upstream, tokens)
-        generation.unread = Holding(
+        generation.holding = MemoryReservation(
+            self._balancer, upstream, tokens
+        )
+        generation.unread = MemoryReservation(
             self._balancer, upstream, kind.prompt_tokens, prefill_key
         )
         self._running[name][work.key] = generation
@@ -374,7 +379,7 @@
 
 
 def _measure(
-    law: LoadLaw, policy: PlacingPolicy, seeds: int, length_s: float
+    law: LoadLaw, policy: PlacementPolicy, seeds: int, length_s: float
 ) -> dict[str, list[float]]:
     """Return mean and standard error of each part."""
     days = [Day(law, policy, seed, length_s).play() for seed in range(seeds)]
--- a/src/balsamlift/relay/_backup.py
+++ b/src/balsamlift/relay/_backup.py
@@ -1,59 +1,60 @@
-"""A second engine that keeps the memory of a generation as it grows."""
+"""Keep a copy of a generation's memory on a second engine as it grows."""
 
 from __future__ import annotations
 
 from balsamlift.peers import Upstream
 from balsamlift.relay._job import Job
-from balsamlift.relay._rooms import Holding
+from balsamlift.relay._memory_allocator import MemoryReservation
 from balsamlift.relay._tools import Tools
 
 
 class Backup:
-    """Hold room for the copy of one generation at a time.
+    """Reserve memory for a copy of one generation, on one engine at a time.
 
-    Engines crash without notice, or leave before all copies are away.
+    Guards against engines that crash without notice or terminate before all
+    their generations have been moved.
     """
 
     def __init__(self, tools: Tools, job: Job) -> None:
-        """Begin with none."""
+        """Start without a backup."""
         self._tools = tools
         self._job = job
-        self._holding: Holding | None = None
+        self._reservation: MemoryReservation | None = None
 
     def choose(self, source: Upstream) -> None:
-        """Find an engine with room for a copy, other than `source`."""
+        """Choose an engine other than `source` that has memory for a copy."""
         self.release()
         job = self._job
         if not job.traits.can_back_up:
             return
-        self._holding = self._tools.rooms.hold_backup(
+        self._reservation = self._tools.rooms.reserve_backup(
             job.scope, source, job.traits, job.tokens
         )
 
     @property
     def upstream(self) -> str:
-        """Return the name of the engine that keeps the copy; "": none."""
-        return self._holding.upstream.name if self._holding else ""
+        """Return the name of the backup engine, or "" if there is none."""
+        return self._reservation.upstream.name if self._reservation else ""
 
     def headers(self) -> list[tuple[str, str]]:
-        """Return the headers that name it to the engine at work."""
-        if self._holding is None:
+        """Return the headers that name the backup to the running engine."""
+        if self._reservation is None:
             return []
         names = self._tools.names
-        return [(names.backup_address, self._holding.upstream.address)]
+        return [(names.backup_address, self._reservation.upstream.address)]
 
     def take(self) -> Upstream | None:
-        """Return the engine that has the copy, if it stays, and let go."""
-        holding = self._holding
+        """Return the backup engine if it stays; release its memory."""
+        reservation = self._reservation
         self.release()
-        if holding is None:
+        if reservation is None:
             return None
-        if not self._tools.upstreams.may_take_work(holding.upstream.name):
+        if not self._tools.upstreams.may_take_work(reservation.upstream.name):
             return None
-        return holding.upstream
+        return reservation.upstream
 
     def release(self) -> None:
-        """Give the room back."""
-        holding, self._holding = self._holding, None
-        if holding is not None:
-            holding.release()
+        """Release the reserved memory."""
+        reservation, self._reservation = self._reservation, None
+        if reservation is not None:
+            reservation.release()
--- a/src/balsamlift/relay/_generation.py
+++ b/src/balsamlift/relay/_generation.py
@@ -24,9 +24,9 @@
 from balsamlift.relay._exchange import Reply
 from balsamlift.relay._headers import caller_headers
 from balsamlift.relay._job import Job
+from balsamlift.relay._memory_allocator import MemoryReservation
 from balsamlift.relay._move import Move
 from balsamlift.relay._request import Responder
-from balsamlift.relay._rooms import Holding
 from balsamlift.relay._tools import Tools
 
 log = logger.bind(part="generations")
@@ -65,7 +65,7 @@
         tools: Tools,
         job: Job,
         responder: Responder,
-        holding: Holding,
+        holding: MemoryReservation,
         backup: Backup,
     ) -> None:
         """Prepare to relay to `responder`."""
@@ -293,7 +293,7 @@
         # It is the same run: it stops at the one engine as it goes on at
         # the other.
         attempt = Attempt(is_idempotent=False)
-        self._tools.balancer.sending(upstream)
+        self._tools.balancer.record_send(upstream)
         with suppress(
             UpstreamUnreachableError, UpstreamBrokenError, TimeoutError
         ):
--- a/src/balsamlift/relay/_generations.py
+++ b/src/balsamlift/relay/_generations.py
@@ -22,7 +22,7 @@
 from balsamlift.relay._generation import Generation
 from balsamlift.relay._headers import caller_headers
 from balsamlift.relay._job import Job
-from balsamlift.relay._needs import Need, read_need
+from balsamlift.relay._memory_allocator import MemoryReservation
 from balsamlift.relay._refusals import (
     give_up,
     no_room,
@@ -30,8 +30,8 @@
     timed_out,
 )
 from balsamlift.relay._request import Call, Outcome, Refusal, Responder
-from balsamlift.relay._retries import Retries
-from balsamlift.relay._rooms import Holding
+from balsamlift.relay._retry_budget import RetryBudget
+from balsamlift.relay._token_estimate import TokenEstimate, read_token_estimate
 from balsamlift.relay._tools import Tools
 
 log = logger.bind(part="generations")
@@ -54,7 +54,7 @@
     """Hold an engine's answer and the memory held there."""
 
     reply: Reply
-    holding: Holding
+    holding: MemoryReservation
     backup: Backup
 
 
@@ -65,7 +65,7 @@
         self,
         tools: Tools,
         admission: Admission,
-        retries: Retries,
+        retries: RetryBudget,
         upstreams: Upstreams,
     ) -> None:
         """Watch `upstreams` for engines that leave."""
@@ -81,7 +81,7 @@
         """Begin only what is expected to end by then, on the loop's clock."""
         self._leaves_s = by_s
 
-    def _fits_before_leaving(self, need: Need) -> bool:
+    def _fits_before_leaving(self, need: TokenEstimate) -> bool:
         if self._leaves_s is None:
             return True
         left_s = self._leaves_s - asyncio.get_running_loop().time()
@@ -91,7 +91,7 @@
     async def run(self, call: Call, responder: Responder) -> Outcome:
         """Answer the caller; return the outcome for the log."""
         attempt = Attempt(is_idempotent=False)
-        need = read_need(call.request.headers, self._tools.names)
+        need = read_token_estimate(call.request.headers, self._tools.names)
         if not self._fits_before_leaving(need):
             # Another host will finish it; this one would have to cut it off.
             refusal = give_up(attempt, "host is leaving", 0)
@@ -126,16 +126,16 @@
             holding = await self._wait_for_room(job, tried)
             if holding is None:
                 now_s = asyncio.get_running_loop().time()
-                if self._tools.balancer.is_closed(call.scope):
+                if self._tools.balancer.is_blocked_by_operators(call.scope):
                     return no_upstream(attempt, call, now_s)
                 return no_room(attempt, call, now_s)
             backup = Backup(self._tools, job)
             backup.choose(holding.upstream)
             self._log_placed(call, holding, backup)
-            unread = Holding(
+            unread = MemoryReservation(
                 self._tools.balancer,
                 holding.upstream,
-                job.need.prompt_tokens,
+                job.estimate.prompt_tokens,
                 prefill_key,
             )
             try:
@@ -170,7 +170,7 @@
 
     async def _wait_for_room(
         self, job: Job, tried: set[str]
-    ) -> Holding | None:
+    ) -> MemoryReservation | None:
         """Return room in an engine; None where it comes too late."""
         call = job.call
         target_s = call.route.target_ms / 1_000
@@ -185,7 +185,7 @@
             return None
 
     def _log_placed(
-        self, call: Call, holding: Holding, backup: Backup
+        self, call: Call, holding: MemoryReservation, backup: Backup
     ) -> None:
         waited_s = asyncio.get_running_loop().time() - call.request.arrived_s
         balancer = self._tools.balancer
@@ -214,7 +214,7 @@
                 call, attempt, upstream, extra
             )
         except (UpstreamUnreachableError, UpstreamBrokenError) as error:
-            out_s = balancer.saw_break(upstream.name)
+            out_s = balancer.eject(upstream.name)
             log.bind(
                 request=call.request_id,
                 upstream=upstream.name,
@@ -253,9 +253,9 @@
         try:
             if not reply.is_success:
                 if reply.head.status != TIMED_OUT:
-                    self._tools.balancer.saw_failure(reply.upstream.name)
+                    self._tools.balancer.record_failure(reply.upstream.name)
                 return await self._pass_failure(reply, responder)
-            self._tools.balancer.saw_success(reply.upstream.name)
+            self._tools.balancer.record_success(reply.upstream.name)
             outcome = await generation.relay(reply)
             course = generation.course
             log.bind(
@@ -265,8 +265,8 @@
                 gap_ms=course.gap_ms,
                 moves=course.moves,
                 events=course.events,
-                prompt_tokens=job.need.prompt_tokens,
-                output_tokens=job.need.output_tokens,
+                prompt_tokens=job.estimate.prompt_tokens,
+                output_tokens=job.estimate.output_tokens,
             ).info("stream: {}", outcome)
             return outcome
         finally:
--- a/src/balsamlift/relay/_plain.py
+++ b/src/balsamlift/relay/_plain.py
@@ -24,7 +24,7 @@
     timed_out,
 )
 from balsamlift.relay._request import Call, Outcome, Refusal, Responder
-from balsamlift.relay._retries import Retries
+from balsamlift.relay._retry_budget import RetryBudget
 
 log = logger.bind(part="calls")
 
@@ -50,7 +50,7 @@
         exchange: Exchange,
         balancer: Balancer,
         admission: Admission,
-        retries: Retries,
+        retries: RetryBudget,
         crash_guard: CrashGuard,
     ) -> None:
         """Send through `exchange` to upstreams that `balancer` picks."""
@@ -87,7 +87,7 @@
         while True:
             if self._crash_guard.is_culprit(call):
                 return CRASHING_REQUEST
-            upstream = self._balancer.place_call(call.scope, tried)
+            upstream = self._balancer.choose_upstream(call.scope, tried)
             if upstream is None:
                 now_s = asyncio.get_running_loop().time()
                 return no_upstream(attempt, call, now_s)
@@ -123,7 +123,7 @@
             left_s = call.give_up_s - loop.time()
             bound_s = loop.time() + left_s * TRY_PART
         try:
-            with self._balancer.hold(upstream.name, 1):
+            with self._balancer.count_in_flight(upstream.name, 1):
                 async with asyncio.timeout_at(bound_s):
                     reply = await self._exchange.send(call, attempt, upstream)
                     body = await self._exchange.read_whole(
@@ -146,18 +146,20 @@
         if reply.meaning != "not_executed":
             self._crash_guard.record_completed(call)
         if reply.meaning == "answer":
-            self._balancer.saw_success(upstream.name)
+            self._balancer.record_success(upstream.name)
         elif reply.meaning == "not_executed":
-            self._balancer.health.failed(upstream.name)  # full, not broken
+            self._balancer.health.record_failure(
+                upstream.name
+            )  # full, not broken
         else:
-            self._balancer.saw_failure(upstream.name)
+            self._balancer.record_failure(upstream.name)
         return _Answer(reply, body)
 
     def _leave_alone(
         self, call: Call, attempt: Attempt, upstream: Upstream, why: str
     ) -> None:
         """Send nothing there for a while, and log for how long."""
-        out_s = self._balancer.saw_break(upstream.name)
+        out_s = self._balancer.eject(upstream.name)
         log.bind(
             request=call.request_id,
             upstream=upstream.name,
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -17,13 +17,14 @@
 from balsamlift.peers import Peers, Upstreams
 from balsamlift.relay._admission import Admission
 from balsamlift.relay._balance import Balancer
-from balsamlift.relay._cold_starts import ColdLimits, ColdStarts
+from balsamlift.relay._cold_starts import ColdLimits, ColdStartLimiter
 from balsamlift.relay._crash_guard import CrashGuard
-from balsamlift.relay._doubts import Doubts
 from balsamlift.relay._engines import EngineCalls
 from balsamlift.relay._exchange import Exchange
 from balsamlift.relay._frontend import Frontend
 from balsamlift.relay._generations import Generations
+from balsamlift.relay._leaving_detector import LeavingDetector
+from balsamlift.relay._memory_allocator import MemoryAllocator
 from balsamlift.relay._plain import PlainCalls
 from balsamlift.relay._pool import ConnectionPool
 from balsamlift.relay._request import (
@@ -33,8 +34,7 @@
     Refusal,
     Responder,
 )
-from balsamlift.relay._retries import Retries, RetryLimits
-from balsamlift.relay._rooms import Rooms
+from balsamlift.relay._retry_budget import RetryBudget, RetryLimits
 from balsamlift.relay._routing import Routing, Table
 from balsamlift.relay._tools import Tools
 from balsamlift.relay._wire import HeaderNames
@@ -94,7 +94,7 @@
             self._clock,
             self._random,
             self._settings.failure_domain,
-            ColdStarts(
+            ColdStartLimiter(
                 self._settings.cold_limits,
                 routing.cold_per_s,
                 peers.known_place_for,
@@ -102,8 +102,8 @@
             ),
             self._settings.regions,
         )
-        self._rooms = Rooms(balancer)
-        self._retries = Retries(
+        self._rooms = MemoryAllocator(balancer)
+        self._retries = RetryBudget(
             self._settings.retries,
             lambda: len(peers.live()) + 1,
             self._clock,
@@ -134,7 +134,7 @@
         self._generations = Generations(
             tools, self._admission, self._retries, self._upstreams
         )
-        self._doubts = Doubts(
+        self._doubts = LeavingDetector(
             self._upstreams,
             self._engines,
             self._clock,
@@ -178,7 +178,7 @@
             self._log_outcome(admitted, outcome)
 
     async def _run(self, call: Call, responder: Responder) -> Outcome:
-        self._retries.requested(call.service)
+        self._retries.record_request(call.service)
         if call.route.kind == "stream":
             return await self._generations.run(call, responder)
         return await self._plain.run(call, responder)
@@ -217,13 +217,13 @@
         while True:
             hears_all = self._peers.hears_all
             await self._clock.sleep(LOOK_S if hears_all else GATHERED_LOOK_S)
-            if self._rooms.waiting:
+            if self._rooms.waiting_count:
                 await self._balancer.refresh()
-                self._rooms.look()
+                self._rooms.place_waiting()
 
     async def _keep_sweeping(self) -> None:
         while True:
             await self._clock.sleep(SWEEP_S)
             self._pool.sweep({u.name for u in self._upstreams.all()})
-            self._balancer.forget_old()
-            self._crash_guard.forget_old()
+            self._balancer.discard_expired()
+            self._crash_guard.discard_expired()
