--- a/src/balsamlift/relay/__init__.py
+++ b/src/balsamlift/relay/__init__.py
@@ -1,4 +1,7 @@
-"""Pass requests of callers on to upstreams, whole and at most once."""
+"""Reverse proxy that runs each request at most once.
+
+Requests of routes declared idempotent may be retried.
+"""
 
 from balsamlift.relay._cold_starts import ColdLimits
 from balsamlift.relay._configuration import (
--- a/src/balsamlift/relay/_admission.py
+++ b/src/balsamlift/relay/_admission.py
@@ -1,4 +1,4 @@
-"""Decide from its head and the configuration what may become of a request."""
+"""Admission of requests by their headers and the configuration in force."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from balsamlift.relay._configuration import Route, Workspace
 from balsamlift.relay._fingerprint import fingerprint
 from balsamlift.relay._request import Call, CallerRequest, Refusal
-from balsamlift.relay._routing import Routing, Table, pick_service
+from balsamlift.relay._routing import Routing, RoutingTable, pick_service
 from balsamlift.relay._scope import bound_regions
 from balsamlift.relay._wire import HeaderNames
 
-# A host that has just started knows a configuration at once, or has to wait
-# until the platform is back: a short wait would use up the caller's retries.
+# A host that has just started either reads a configuration at once or waits
+# until the platform is back. A short wait would use up the caller's retries.
 RETRY_UNCONFIGURED_MS = 2_000
-# Allows for reading a newer version from the store or from a peer.
+# Enough time to read a newer version from the store or from a peer.
 RETRY_OUTDATED_MS = 1_000
-# Callers wait for no more than this part of the time that they have left.
-RETRY_PART = 0.3
+# Upper bound of Retry-After, as a fraction of the caller's remaining time.
+RETRY_AFTER_FRACTION = 0.3
 
 NO_REQUEST_ID = Refusal(status=400, reason="no request id")
 NO_ROUTE = Refusal(status=404, reason="no route")
@@ -26,18 +26,18 @@
 
 
 class Admission:
-    """Turn requests into calls, or say why not."""
+    """Turns requests into calls, or refuses them with a reason."""
 
     def __init__(
         self, routing: Routing, names: HeaderNames, rng: random.Random
     ) -> None:
-        """Look routes up in `routing`."""
+        """Create an admission check that reads routes from `routing`."""
         self._routing = routing
         self._names = names
         self._random = rng
 
     def admit(self, request: CallerRequest) -> Call | Refusal:
-        """Return the call that a request makes, or its refusal."""
+        """Return the call for a request, or the reason for refusing it."""
         try:
             table = self._routing.table()
         except NotConfiguredError:
@@ -52,16 +52,19 @@
         route = table.find_route(host, path)
         if route is None:
             return self._deny(request, NO_ROUTE)
-        key = self._key(request)
+        key = self._read_key(request)
         workspace = table.find_workspace(key) if key else None
         if workspace is None and table.needs_keys and not route.is_public:
             return self._deny(request, UNKNOWN_KEY)
-        return self._call(request, request_id, table, route, key, workspace)
+        return self._make_call(
+            request, request_id, table, route, key, workspace
+        )
 
     def _deny(self, request: CallerRequest, refusal: Refusal) -> Refusal:
-        """Return `refusal`, or a retryable one if a newer version may differ.
+        """Return `refusal`, or a retryable one if the version may be outdated.
 
-        Callers do not retry after 401 or 404.
+        Callers do not retry after 401 or 404, so these statuses must not be
+        returned for a request that a newer configuration allows.
         """
         if not self._routing.may_be_outdated:
             return refusal
@@ -70,11 +73,11 @@
             request, self._names, reason, RETRY_OUTDATED_MS
         )
 
-    def _call(
+    def _make_call(
         self,
         request: CallerRequest,
         request_id: str,
-        table: Table,
+        table: RoutingTable,
         route: Route,
         key: str,
         workspace: Workspace | None,
@@ -82,8 +85,8 @@
         priority = route.priority
         if workspace is not None and workspace.priority is not None:
             priority = workspace.priority
-        bound_s = request.arrived_s + route.timeout_ms / 1_000
-        deadline_s = self._deadline_s(request, bound_s)
+        route_deadline_s = request.arrived_s + route.timeout_ms / 1_000
+        deadline_s = self._deadline_s(request, route_deadline_s)
         return Call(
             request=request,
             request_id=request_id,
@@ -93,10 +96,10 @@
             key=key,
             fingerprint=fingerprint(request, key),
             service=pick_service(route, self._random),
-            regions=_regions(route, workspace),
+            regions=_allowed_regions(route, workspace),
             priority=priority,
             deadline_s=deadline_s,
-            give_up_s=min(bound_s, deadline_s),
+            give_up_s=min(route_deadline_s, deadline_s),
         )
 
     def _deadline_s(self, request: CallerRequest, default_s: float) -> float:
@@ -105,7 +108,7 @@
             return default_s
         return request.arrived_s + int(text) / 1_000
 
-    def _key(self, request: CallerRequest) -> str:
+    def _read_key(self, request: CallerRequest) -> str:
         text = request.headers.get("Authorization", "")
         scheme, _, key = text.partition(" ")
         if scheme.lower() != self._names.auth_scheme.lower():
@@ -113,9 +116,9 @@
         return key.strip()
 
     def still_allows(self, call: Call) -> bool:
-        """Tell whether the configuration in force now allows a call.
+        """Return whether the configuration now in force allows a call.
 
-        A request that has waited may have lost its key or its route.
+        The key or the route may have been removed while the call waited.
         """
         table = self._routing.table()
         if table is call.table:
@@ -127,7 +130,7 @@
         if call.service not in {share.service for share in route.services}:
             return False
         workspace = table.find_workspace(call.key)
-        if _regions(route, workspace) != call.regions:
+        if _allowed_regions(route, workspace) != call.regions:
             return False
         if route.is_public or not table.needs_keys:
             return True
@@ -141,17 +144,21 @@
 def _retryable_refusal(
     request: CallerRequest, names: HeaderNames, reason: str, wait_ms: int
 ) -> Refusal:
-    """Return a 503 to retry within `RETRY_PART` of the time left, if sent."""
+    """Return a 503 with a Retry-After of at most `wait_ms`.
+
+    If the caller sent a deadline, the wait is limited to
+    `RETRY_AFTER_FRACTION` of it.
+    """
     text = request.headers.get(names.deadline_ms, "")
     if text.isdecimal():
-        wait_ms = min(wait_ms, int(int(text) * RETRY_PART))
+        wait_ms = min(wait_ms, int(int(text) * RETRY_AFTER_FRACTION))
     return Refusal(status=503, reason=reason, retry_after_ms=wait_ms)
 
 
-def _regions(
+def _allowed_regions(
     route: Route, workspace: Workspace | None
 ) -> frozenset[str] | None:
-    """Return where a call may run; None: anywhere."""
+    """Return the regions in which a call may run, or None for any."""
     if workspace is None:
         return bound_regions(route.regions)
     return bound_regions(route.regions, workspace.regions)
--- a/src/balsamlift/relay/_attempt.py
+++ b/src/balsamlift/relay/_attempt.py
@@ -1,7 +1,7 @@
-"""How far one request has got at its upstreams.
+"""State of one request with respect to at-most-once execution.
 
-The one rule behind at-most-once: a request may go to another upstream, or
-be refused as not run, only while no upstream can have begun it.
+A request may be sent to another upstream, or be refused as not run, only
+while no upstream can have started it.
 """
 
 from __future__ import annotations
@@ -10,19 +10,20 @@
 
 from balsamlift.exceptions import BalsamliftError
 
-# Upstreams dialled in vain for one call. Nothing reaches them, so that they
-# count neither as retries nor against the most attempts of the route; a
-# refusal takes some ms, and the caller can still be told when to come back.
-MOST_UNREACHABLE = 4
+# Failed connection attempts allowed per call. Nothing reaches the upstream, so
+# they count neither as retries nor towards the route's limit on attempts. A
+# refused connection takes a few milliseconds, and the caller can still be
+# given a Retry-After.
+MAX_UNREACHABLE_UPSTREAMS = 4
 
 
-class AttemptError(BalsamliftError):
-    """Tell that a request was about to run a second time."""
+class UnsafeResendError(BalsamliftError):
+    """Raised before a send that could run a request a second time."""
 
 
 @attrs.define
 class Attempt:
-    """Hold whether a request may have run."""
+    """Whether a request may have run, and how often it was sent."""
 
     is_idempotent: bool
     may_have_run: bool = False
@@ -30,25 +31,28 @@
 
     @property
     def may_send(self) -> bool:
-        """Tell whether to send it is within what its kind allows."""
+        """Return whether sending cannot break the route's guarantee."""
         return self.is_idempotent or not self.may_have_run
 
     @property
     def certainly_not_run(self) -> bool:
-        """Tell whether a refusal as not run is true."""
+        """Return whether no upstream can have run the request."""
         return not self.may_have_run
 
-    def sending(self) -> None:
-        """Note that bytes are about to leave; raise `AttemptError`."""
+    def record_send(self) -> None:
+        """Record that the request is about to be sent.
+
+        Raises `UnsafeResendError` if it must not be sent again.
+        """
         if not self.may_send:
-            raise AttemptError("the request may have run already")
+            raise UnsafeResendError("the request may have run already")
         self.sends += 1
         self.may_have_run = True
 
-    def not_executed(self, ran_before: bool) -> None:
-        """Note the upstream's own word that this send did not run.
+    def record_not_executed(self, may_have_run_before: bool) -> None:
+        """Record that the upstream reported the last send as not executed.
 
-        `ran_before` is what `may_have_run` was before the send: an earlier
-        send may have run still.
+        `may_have_run_before` is the value of `may_have_run` before that
+        send: an earlier send may still have run.
         """
-        self.may_have_run = ran_before
+        self.may_have_run = may_have_run_before
--- a/src/balsamlift/relay/_callers_stream.py
+++ b/src/balsamlift/relay/_caller_stream.py
@@ -1,4 +1,4 @@
-"""The connection of a caller, which bounds the size and time of heads."""
+"""Caller connections with limits on the size and time of request heads."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
 
 log = logger.bind(part="callers")
 
-# Heads up to here are read whole, so that the answer to one over its limit
-# arrives; a connection that is closed with bytes unread may be reset first.
-MOST_READ_HEAD_BYTES = 262_144
-# Callers go by the limit too: a request that crosses the close costs its
-# caller a second connection.
-IDLE_MARGIN = 1.25
+# Heads up to this size are read in full, so that the response to an oversized
+# head arrives. Closing a connection with unread bytes may reset it first.
+MAX_READ_HEAD_BYTES = 262_144
+# Callers observe the idle timeout too. A request sent while the relay closes
+# the connection costs its caller a second connection, so the relay waits
+# longer than the configured limit.
+IDLE_TIMEOUT_FACTOR = 1.25
 
 
 class CallerStream(IOStream):
-    """Know since when the next head of a connection is awaited or read."""
+    """A stream that tracks how long it has waited for a request head."""
 
     def __init__(self, connection: socket.socket, clock: Clock) -> None:
-        """Await the first head."""
+        """Create a stream that expects its first request head."""
         super().__init__(connection)
         self._clock = clock
         self._idle_since_s: float | None = None
@@ -35,28 +36,28 @@
         self.expect_head()
 
     def expect_head(self) -> None:
-        """Note that the answer before has ended."""
+        """Start the idle timeout after the previous response has ended."""
         self._idle_since_s = self._clock.monotonic()
         self._head_since_s = None
 
-    def end_head(self) -> None:
-        """Note that a head was read whole."""
+    def head_received(self) -> None:
+        """Stop the timeouts after a complete head has been read."""
         self._idle_since_s = None
         self._head_since_s = None
 
-    def end_if_late(self, limits: CallerLimits) -> None:
-        """Close a connection that rests too long or sends too slowly."""
+    def close_if_timed_out(self, limits: CallerLimits) -> None:
+        """Close a connection that is idle or sends its head for too long."""
         now_s = self._clock.monotonic()
         if self._head_since_s is not None:
             if now_s - self._head_since_s > limits.head_timeout_ms / 1_000:
-                self._refuse_slow()
+                self._reject_slow_head()
         elif self._idle_since_s is not None:
             idle_ms = (now_s - self._idle_since_s) * 1_000
-            if idle_ms > limits.idle_timeout_ms * IDLE_MARGIN:
+            if idle_ms > limits.idle_timeout_ms * IDLE_TIMEOUT_FACTOR:
                 self.close()
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        """Read, and note when the first byte of a head arrives."""
+        """Read, and start the head timeout at the first byte of a head."""
         count = super().read_from_fd(buf)
         if count and self._idle_since_s is not None:
             self._idle_since_s = None
@@ -64,31 +65,36 @@
         return count
 
     def close(self, exc_info: Any = False) -> None:
-        """Close; tell the caller of a head that is too large to be read."""
+        """Close the stream; respond with 431 if the head was too large."""
         if isinstance(exc_info, UnsatisfiableReadError) and not self.closed():
             log.bind(status=431, peer=self._peer()).info("head too large")
-            with contextlib.suppress(OSError):  # logged; the caller is gone
-                self.write_to_fd(memoryview(_closing_answer(431)))
+            with contextlib.suppress(
+                OSError
+            ):  # logged; the caller has disconnected
+                self.write_to_fd(memoryview(_closing_response(431)))
         super().close(exc_info)
 
-    def _refuse_slow(self) -> None:
+    def _reject_slow_head(self) -> None:
         log.bind(status=408, peer=self._peer()).info("head came too slowly")
-        with contextlib.suppress(OSError):  # logged; the caller is gone
-            self.write_to_fd(memoryview(_closing_answer(408)))
+        with contextlib.suppress(
+            OSError
+        ):  # logged; the caller has disconnected
+            self.write_to_fd(memoryview(_closing_response(408)))
         self.close()
 
     def _peer(self) -> str:
         try:
             ip, port = self.socket.getpeername()[:2]
-        except OSError:  # closed meanwhile
+        except OSError:  # already closed
             return ""
         return f"{ip}:{port}"
 
 
-def _closing_answer(status: int) -> bytes:
-    """Return a whole answer, after which the connection ends.
+def _closing_response(status: int) -> bytes:
+    """Return a complete response that closes the connection.
 
-    It is small and the first on its way, so that the socket takes it at once.
+    It is small and nothing is queued before it, so the socket accepts it
+    at once.
     """
     return (
         f"HTTP/1.1 {status} {responses[status]}\r\n"
--- a/src/balsamlift/relay/_configuration.py
+++ b/src/balsamlift/relay/_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of a relay: routes, services and workspaces."""
+"""Data model of the configuration: routes, services and workspaces."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceShare:
-    """Hold the part of a route's requests that one service gets."""
+    """One service of a route and its weight in the traffic split."""
 
     service: str
     weight: int
@@ -19,7 +19,7 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """Say where the requests of one host name and path prefix go."""
+    """Destination of the requests for one host name and path prefix."""
 
     name: str
     host: str
@@ -27,47 +27,47 @@
     kind: RouteKind
     services: tuple[ServiceShare, ...]
     timeout_ms: int
-    target_ms: int  # to the whole answer, or to the first event of a stream
+    target_ms: int  # to the complete response, or the first event of a stream
     priority: int = 0  # 0 is served first
     most_attempts: int = 1  # upstreams that may run one request
-    is_public: bool = False  # needs no key
+    is_public: bool = False  # needs no API key
     regions: frozenset[str] = frozenset()  # where it may run; empty: any
 
 
 @attrs.frozen(kw_only=True)
 class EngineTraits:
-    """Describe the engines of a service that generates."""
+    """Properties of the engines of a generation service."""
 
     memory_tokens: int  # of one engine
     token_bytes: int = 0  # of memory
-    link_mbps: float = 0.0  # between engines; 0: not told
+    link_mbps: float = 0.0  # between engines; 0: unknown
     can_move: bool = False
     can_back_up: bool = False
 
 
 @attrs.frozen(kw_only=True)
 class Service:
-    """Describe the upstreams that share one pool."""
+    """Properties of a service, whose upstreams form one pool."""
 
     name: str
-    most_connections: int  # of one upstream, from all hosts together
-    engine: EngineTraits | None = None  # None: it does not generate
-    cold_per_s: float | None = None  # requests that one tolerates while cold
+    most_connections: int  # to one upstream, from all hosts together
+    engine: EngineTraits | None = None  # None: no generation service
+    cold_per_s: float | None = None  # tolerated by one cold upstream
 
 
 @attrs.frozen(kw_only=True)
 class Workspace:
-    """Hold who calls with which keys."""
+    """A tenant, identified by its API keys."""
 
     name: str
     keys: tuple[str, ...]
-    priority: int | None = None  # goes before the route's
+    priority: int | None = None  # overrides the route's
     regions: frozenset[str] = frozenset()  # where its work may run; empty: any
 
 
 @attrs.frozen(kw_only=True)
 class CallerLimits:
-    """Bound what callers may send, and how long they may take."""
+    """Limits on the size and duration of requests from callers."""
 
     body_bytes: int
     head_bytes: int  # of the request line and all headers
@@ -77,7 +77,7 @@
 
 @attrs.frozen(kw_only=True)
 class Configuration:
-    """Hold one version of all that operators decide."""
+    """One version of the settings that operators publish."""
 
     version: int
     routes: tuple[Route, ...]
--- a/src/balsamlift/relay/_connection.py
+++ b/src/balsamlift/relay/_connection.py
@@ -1,8 +1,8 @@
-"""One connection to an upstream: a request out, an answer in.
+"""HTTP/1.1 client connection to one upstream.
 
-A connection carries one request at a time and never sends one again by
-itself: curl does so when a kept connection turns out to be closed, which
-runs a request twice.
+A connection carries one request at a time and never resends a request on its
+own. curl does so when a reused connection turns out to be closed, which can
+run a request twice.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
     UpstreamUnreachableError,
 )
 
-# A connection within a deployment takes a few milliseconds; one that is lost
-# with its packet is sent again by the system after a second.
-CONNECT_S = 0.5
-# Links lose packets for seconds, and a lost one is sent again after 0.2 s,
-# 0.4 s and 0.8 s; beyond that, the other end is gone.
-SILENCE_S = 2
-PROBE_S = 1
-MOST_HEAD_BYTES = 65_536
-MOST_LINE_BYTES = 1_024  # of a chunk's size or a trailer
+# Connecting within a deployment takes a few milliseconds; the kernel resends a
+# lost SYN packet after one second.
+CONNECT_TIMEOUT_S = 0.5
+# Links may lose packets for seconds. A lost packet is retransmitted after
+# 0.2 s, 0.4 s and 0.8 s; after that, the other end is considered dead.
+SILENCE_TIMEOUT_S = 2
+KEEPALIVE_PROBE_S = 1
+MAX_HEAD_BYTES = 65_536
+MAX_LINE_BYTES = 1_024  # of a chunk size line or a trailer
 READ_BYTES = 65_536
-BUFFER_BYTES = 1_048_576  # a single read never waits for more
-# A kept connection is left alone in the last part of the idle time that the
-# upstream grants: it closes while the request is on its way, and then nobody
-# can tell whether it ran.
-IDLE_PART = 0.5
-IDLE_UNTOLD_S = 1.0  # where the upstream tells no idle time
+MAX_BUFFER_BYTES = 1_048_576  # a single read never buffers more
+# Fraction of the upstream's keep-alive timeout within which a connection is
+# reused. Close to the timeout, the upstream may close the connection while a
+# request is in flight, and it is then unknown whether the request ran.
+IDLE_TIMEOUT_FRACTION = 0.5
+DEFAULT_IDLE_TIMEOUT_S = 1.0  # without a Keep-Alive header
 
 _NO_BODY = frozenset({204, 304})
 _READ_ERRORS = (
@@ -56,8 +56,8 @@
 
 
 @attrs.frozen
-class Head:
-    """Hold the start of an answer."""
+class ResponseHead:
+    """Status line and headers of a response."""
 
     status: int
     reason: str
@@ -65,25 +65,31 @@
 
 
 class UpstreamConnection:
-    """Send requests to one incarnation of an upstream, one at a time."""
+    """A connection to one incarnation of an upstream.
+
+    It carries one request at a time.
+    """
 
     def __init__(self, upstream: str, address: str, clock: Clock) -> None:
-        """Prepare a connection; `connect` opens it."""
+        """Create a closed connection; `connect` opens it."""
         self.upstream = upstream
         self.address = address
         self._clock = clock
         self._stream: IOStream | None = None
         self._reusable = False
         self._idle_until_s = 0.0
-        self._is_head_only = False
-        self._write: asyncio.Future[None] | None = None
+        self._is_head_request = False
+        self._write_future: asyncio.Future[None] | None = None
 
     async def connect(self) -> None:
-        """Open the connection; raise `UpstreamUnreachableError`."""
+        """Open the connection.
+
+        Raises `UpstreamUnreachableError`.
+        """
         ip, port = split_address(self.address)
-        stream = IOStream(socket.socket(), max_buffer_size=BUFFER_BYTES)
+        stream = IOStream(socket.socket(), max_buffer_size=MAX_BUFFER_BYTES)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await stream.connect((ip, port))
         except (StreamClosedError, TimeoutError) as error:
             stream.close()
@@ -94,20 +100,20 @@
             stream.close()
             raise
         stream.set_nodelay(True)
-        watch_silence(stream.socket)
+        enable_dead_peer_detection(stream.socket)
         self._stream = stream
 
     def close(self) -> None:
-        """Close the connection; the upstream then drops what it runs."""
+        """Close the connection, on which the upstream aborts the request."""
         self._reusable = False
         if self._stream is not None:
             self._stream.close()
 
-    def can_take(self) -> bool:
-        """Tell whether a kept connection is fit for one more request.
+    def is_reusable(self) -> bool:
+        """Return whether an idle connection can carry another request.
 
-        Looks at the socket itself: an upstream that closed it, or sent what
-        nobody asked for, shows there before the event loop has seen it.
+        Peeks at the socket, which shows a close or unsolicited data before
+        the event loop has processed it.
         """
         stream = self._stream
         if not self._reusable or stream is None or stream.closed():
@@ -129,7 +135,7 @@
         headers: Iterable[tuple[str, str]],
         body: bytes,
     ) -> None:
-        """Begin to send a request; from here on it may run."""
+        """Start sending a request; from here on it may run."""
         assert self._stream is not None
         lines = [f"{method} {target} HTTP/1.1"]
         lines += [f"{name}: {value}" for name, value in headers]
@@ -137,47 +143,50 @@
             lines.append(f"Content-Length: {len(body)}")
         head = "\r\n".join([*lines, "", ""]).encode("latin-1")
         self._reusable = False
-        self._is_head_only = method == "HEAD"
+        self._is_head_request = method == "HEAD"
         write = asyncio.ensure_future(self._stream.write(head + body))
-        write.add_done_callback(_ignore_failure)
-        self._write = write
+        write.add_done_callback(_ignore_write_error)
+        self._write_future = write
 
-    async def read_head(self, is_own: Callable[[Head], bool]) -> Head:
-        """Return the head of the answer; raise `UpstreamBrokenError`.
+    async def read_head(
+        self, is_expected: Callable[[ResponseHead], bool]
+    ) -> ResponseHead:
+        """Return the head of the response.
 
-        An upstream may send a second answer to an earlier request: what
-        `is_own` does not know is read to its end and dropped.
+        An upstream may send a second response to an earlier request, so a
+        response for which `is_expected` returns false is read to its end
+        and dropped. Raises `UpstreamBrokenError`.
         """
         while True:
             head = await self._read_head()
             if head.status < 200:
                 continue
-            if is_own(head):
+            if is_expected(head):
                 return head
             async for _ in self.read_body(head):
                 pass
             self._reusable = False
 
-    async def read_body(self, head: Head) -> AsyncIterator[bytes]:
-        """Yield the body of the answer as it comes.
+    async def read_body(self, head: ResponseHead) -> AsyncIterator[bytes]:
+        """Yield the body of the response as it arrives.
 
-        Raises `UpstreamBrokenError` where it ends before its end.
+        Raises `UpstreamBrokenError` if it is truncated.
         """
         assert self._stream is not None
-        if self._is_head_only or head.status in _NO_BODY:
+        if self._is_head_request or head.status in _NO_BODY:
             self._finish(head)
             return
         try:
             if _is_chunked(head.headers):
-                async for part in self._read_chunks(self._stream):
-                    yield part
+                async for chunk in self._read_chunks(self._stream):
+                    yield chunk
             elif "Content-Length" in head.headers:
-                length = _length(head.headers["Content-Length"])
-                async for part in self._read_length(self._stream, length):
-                    yield part
+                length = _parse_length(head.headers["Content-Length"])
+                async for chunk in self._read_length(self._stream, length):
+                    yield chunk
             else:
-                async for part in self._read_until_close(self._stream):
-                    yield part
+                async for chunk in self._read_until_close(self._stream):
+                    yield chunk
                 return
         except _READ_ERRORS as error:
             self.close()
@@ -186,11 +195,11 @@
             ) from error
         self._finish(head)
 
-    async def _read_head(self) -> Head:
+    async def _read_head(self) -> ResponseHead:
         assert self._stream is not None
         try:
             data = await self._stream.read_until(
-                b"\r\n\r\n", max_bytes=MOST_HEAD_BYTES
+                b"\r\n\r\n", max_bytes=MAX_HEAD_BYTES
             )
             first, _, rest = data.decode("latin-1").partition("\r\n")
             line = parse_start_line(first)
@@ -200,54 +209,60 @@
             raise UpstreamBrokenError(
                 self.upstream, f"no answer: {error}"
             ) from error
-        return Head(line.code, line.reason, headers)
+        return ResponseHead(line.code, line.reason, headers)
 
     async def _read_length(
         self, stream: IOStream, length: int
     ) -> AsyncIterator[bytes]:
         while length > 0:
-            part = await stream.read_bytes(
+            chunk = await stream.read_bytes(
                 min(length, READ_BYTES), partial=True
             )
-            length -= len(part)
-            yield part
+            length -= len(chunk)
+            yield chunk
 
     async def _read_chunks(self, stream: IOStream) -> AsyncIterator[bytes]:
         while True:
-            line = await stream.read_until(b"\r\n", max_bytes=MOST_LINE_BYTES)
-            size = _chunk_size(line)
+            line = await stream.read_until(b"\r\n", max_bytes=MAX_LINE_BYTES)
+            size = _parse_chunk_size(line)
             if size == 0:
                 break
-            async for part in self._read_length(stream, size):
-                yield part
+            async for chunk in self._read_length(stream, size):
+                yield chunk
             if await stream.read_bytes(2) != b"\r\n":
                 raise HTTPInputError("a chunk does not end where it says")
         while line != b"\r\n":
-            line = await stream.read_until(b"\r\n", max_bytes=MOST_LINE_BYTES)
+            line = await stream.read_until(b"\r\n", max_bytes=MAX_LINE_BYTES)
 
     async def _read_until_close(
         self, stream: IOStream
     ) -> AsyncIterator[bytes]:
         while True:
             try:
-                part = await stream.read_bytes(READ_BYTES, partial=True)
+                chunk = await stream.read_bytes(READ_BYTES, partial=True)
             except StreamClosedError as error:
                 if stream.error is not None:
                     raise UpstreamBrokenError(
                         self.upstream, "connection reset"
                     ) from error
                 return
-            yield part
+            yield chunk
+
+    def _finish(self, head: ResponseHead) -> None:
+        """Mark the connection as reusable, or close it.
 
-    def _finish(self, head: Head) -> None:
-        """Keep the connection where the upstream keeps it too."""
-        closes = "close" in head.headers.get("Connection", "").lower()
-        is_written = self._write is not None and self._write.done()
-        if closes or not is_written:
+        It is reusable if the upstream keeps it open and the request has
+        been written in full.
+        """
+        will_close = "close" in head.headers.get("Connection", "").lower()
+        is_written = (
+            self._write_future is not None and self._write_future.done()
+        )
+        if will_close or not is_written:
             self.close()
             return
         self._reusable = True
-        idle_s = _idle_s(head.headers.get("Keep-Alive", ""))
+        idle_s = _parse_idle_timeout_s(head.headers.get("Keep-Alive", ""))
         self._idle_until_s = self._clock.monotonic() + idle_s
 
 
@@ -256,7 +271,7 @@
     ip, port = split_address(address)
     stream = IOStream(socket.socket())
     try:
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             await stream.connect((ip, port))
     except StreamClosedError as error:
         return isinstance(error.real_error, ConnectionError)
@@ -267,27 +282,35 @@
     return False
 
 
-def watch_silence(sock: socket.socket) -> None:
-    """Let the system close a connection whose other end is gone.
+def enable_dead_peer_detection(sock: socket.socket) -> None:
+    """Let the kernel close a connection whose other end is unreachable.
 
-    A connection may go silent for good while new ones work. Bytes without
-    an acknowledgement, and a quiet peer that does not answer probes, end it
-    after `SILENCE_S`.
+    A connection may stop carrying packets for good while new ones work.
+    The kernel closes it when sent bytes stay unacknowledged, or keepalive
+    probes stay unanswered, for `SILENCE_TIMEOUT_S`.
     """
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, SILENCE_S // PROBE_S),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_S * 1_000),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_PROBE_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_PROBE_S),
+        (
+            socket.IPPROTO_TCP,
+            socket.TCP_KEEPCNT,
+            SILENCE_TIMEOUT_S // KEEPALIVE_PROBE_S,
+        ),
+        (
+            socket.IPPROTO_TCP,
+            socket.TCP_USER_TIMEOUT,
+            SILENCE_TIMEOUT_S * 1_000,
+        ),
     )
     for level, name, value in options:
         sock.setsockopt(level, name, value)
 
 
-def _ignore_failure(write: asyncio.Future[None]) -> None:
-    # A connection that fails while writing fails the reading as well,
-    # where it is reported.
+def _ignore_write_error(write: asyncio.Future[None]) -> None:
+    # A write error also fails the pending read, where it is reported.
+    # Retrieving the exception avoids an asyncio warning.
     if not write.cancelled():
         write.exception()
 
@@ -296,23 +319,23 @@
     return headers.get("Transfer-Encoding", "").strip().lower() == "chunked"
 
 
-def _length(text: str) -> int:
+def _parse_length(text: str) -> int:
     if not (text.isascii() and text.isdecimal()):
         raise HTTPInputError("no length of a body")
     return int(text)
 
 
-def _chunk_size(line: bytes) -> int:
+def _parse_chunk_size(line: bytes) -> int:
     digits = line.split(b";", 1)[0].strip()
     if not digits or len(digits) > 8:
         raise HTTPInputError("no size of a chunk")
     return int(digits, 16)
 
 
-def _idle_s(text: str) -> float:
-    """Return how long a connection may be kept, by a Keep-Alive header."""
-    for part in text.split(","):
-        name, _, value = part.strip().partition("=")
+def _parse_idle_timeout_s(text: str) -> float:
+    """Return how long a connection may be reused, by a Keep-Alive header."""
+    for parameter in text.split(","):
+        name, _, value = parameter.strip().partition("=")
         if name.strip().lower() == "timeout" and value.strip().isdecimal():
-            return int(value) * IDLE_PART
-    return IDLE_UNTOLD_S
+            return int(value) * IDLE_TIMEOUT_FRACTION
+    return DEFAULT_IDLE_TIMEOUT_S
--- a/src/balsamlift/relay/_engines.py
+++ b/src/balsamlift/relay/_engines.py
@@ -1,4 +1,4 @@
-"""What the relay asks of engines, besides generating."""
+"""Interface for engine reports and copies of generation memory."""
 
 from __future__ import annotations
 
@@ -11,59 +11,62 @@
 
 
 class CopyError(UpstreamError):
-    """Tell that the memory of a generation was not copied."""
+    """Raised when the memory of a generation was not copied."""
 
 
 class CopyRefusedError(CopyError):
-    """Tell that there was no room, or no way, for the copy.
+    """Raised when the target has no room for a copy or is being evacuated.
 
-    Where the generation was stopped for it, `handle` names its memory at
+    If the generation was stopped for the copy, `handle` names its memory at
     the source.
     """
 
     def __init__(self, upstream: str, reason: str, handle: str = "") -> None:
-        """Keep the handle; empty: the generation still runs."""
+        """Store the handle, which is empty if the generation still runs."""
         super().__init__(upstream, reason)
         self.handle = handle
 
 
 class ReportError(UpstreamError):
-    """Tell that an engine gave no report."""
+    """Raised when an engine returned no report."""
 
 
 @attrs.frozen
 class Copy:
-    """Hold the name of a copied generation, for the request that goes on."""
+    """Memory of a generation that a resumed request continues from."""
 
     handle: str
     source: Upstream
-    target: Upstream  # where it lies; the source itself if it never left
+    target: Upstream  # holds the memory; equals `source` if it was not copied
 
 
 @attrs.frozen
 class Run:
-    """Hold what an engine tells of one generation that it runs."""
+    """State of one running generation, as reported by its engine."""
 
     request_id: str
-    tokens: int  # in its memory
-    events: int  # made so far
+    tokens: int  # in engine memory
+    events: int  # produced so far
 
 
 @attrs.frozen
 class Report:
-    """Hold what an engine tells of itself, as it was some 100 ms ago."""
+    """State of an engine, as it was about 100 ms before the report."""
 
     runs: list[Run]
     is_leaving: bool
-    started_ms: int = 0  # wall time of the engine's start; 0: not told
-    leaves_s: float | None = None  # from then until it is gone, if it knows
+    started_ms: int = 0  # wall time of the engine's start; 0: unknown
+    leaves_s: float | None = None  # time left until it exits, if known
 
 
 class EngineCalls(Protocol):
-    """Ask engines, and move generations between them."""
+    """Client for engine reports and for copies between engines."""
 
     async def report(self, upstream: Upstream) -> Report:
-        """Return an engine's report; raise `ReportError`."""
+        """Return the report of an engine.
+
+        Raises `ReportError`.
+        """
 
     async def copy(
         self,
@@ -75,6 +78,6 @@
     ) -> Copy:
         """Copy the memory of a running generation to another engine.
 
-        Copies what is new when it was copied before. With `stop` the
-        generation stops first. Raises `CopyError`.
+        A repeated copy transfers only what is new since the last one. With
+        `stop`, the generation stops first. Raises `CopyError`.
         """
--- a/src/balsamlift/relay/_events.py
+++ b/src/balsamlift/relay/_events.py
@@ -1,4 +1,4 @@
-"""Split an event stream into whole events."""
+"""Splitting of a server-sent event stream into complete events."""
 
 from __future__ import annotations
 
@@ -6,51 +6,56 @@
 
 from balsamlift.exceptions import BalsamliftError
 
-MOST_EVENT_BYTES = 1_048_576
-NO_EVENT = -1  # ids count from 0 or more
+MAX_EVENT_BYTES = 1_048_576
+NO_EVENT_ID = -1  # valid ids are 0 or more
 
-_END = re.compile(rb"\r?\n\r?\n")
-_ID = re.compile(rb"(?:^|\n)id: ?(\d+)\r?(?:\n|$)")
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
+_EVENT_ID = re.compile(rb"(?:^|\n)id: ?(\d+)\r?(?:\n|$)")
 
 
 class EventError(BalsamliftError):
-    """Tell that an event stream does not go on as it must."""
+    """Raised when an event is out of order or too large."""
 
 
 class EventSplitter:
-    """Collect bytes and give out whole events, each after the one before.
+    """Buffers bytes and returns only complete events, in order of id.
 
-    An upstream that breaks off may leave half an event behind; a caller
-    that was sent it could not be given the rest by another upstream.
+    A broken connection may end within an event. A caller that had received
+    the first half could not get the rest from another upstream.
     """
 
-    def __init__(self, last_id: int = NO_EVENT) -> None:
-        """Expect events with ids above `last_id`."""
+    def __init__(self, last_id: int = NO_EVENT_ID) -> None:
+        """Create a splitter for events with ids above `last_id`."""
         self.last_id = last_id
-        self._held = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the events that `data` completes; raise `EventError`."""
-        held = self._held + data
+        """Return the events that `data` completes.
+
+        Raises `EventError`.
+        """
+        buffer = self._buffer + data
         end = 0
-        for match in _END.finditer(held):
-            self._check(held[end : match.end()])
+        for match in _EVENT_END.finditer(buffer):
+            self._check_order(buffer[end : match.end()])
             end = match.end()
-        self._held = held[end:]
-        if len(self._held) > MOST_EVENT_BYTES:
-            raise EventError(f"an event of over {MOST_EVENT_BYTES} bytes")
-        return held[:end]
+        self._buffer = buffer[end:]
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise EventError(f"event exceeds {MAX_EVENT_BYTES} bytes")
+        return buffer[:end]
 
     @property
-    def rest(self) -> bytes:
-        """Return what has come of an event that is not whole."""
-        return self._held
+    def incomplete(self) -> bytes:
+        """Return the bytes of an event that is not complete yet."""
+        return self._buffer
 
-    def _check(self, event: bytes) -> None:
-        match = _ID.search(event)
+    def _check_order(self, event: bytes) -> None:
+        match = _EVENT_ID.search(event)
         if match is None:
             return
-        number = int(match[1])
-        if number <= self.last_id:
-            raise EventError(f"event {number} came after event {self.last_id}")
-        self.last_id = number
+        event_id = int(match[1])
+        if event_id <= self.last_id:
+            raise EventError(
+                f"event {event_id} came after event {self.last_id}"
+            )
+        self.last_id = event_id
--- a/src/balsamlift/relay/_exchange.py
+++ b/src/balsamlift/relay/_exchange.py
@@ -1,4 +1,4 @@
-"""Send one call to one upstream, and tell what its answer means."""
+"""Exchange of one request and one response with one upstream."""
 
 from __future__ import annotations
 
@@ -12,39 +12,39 @@
 from balsamlift.exceptions import UpstreamBrokenError
 from balsamlift.peers import Upstream
 from balsamlift.relay._attempt import Attempt
-from balsamlift.relay._connection import Head, UpstreamConnection
+from balsamlift.relay._connection import ResponseHead, UpstreamConnection
 from balsamlift.relay._headers import upstream_headers
 from balsamlift.relay._pool import ConnectionPool
 from balsamlift.relay._request import Call
 from balsamlift.relay._wire import HeaderNames
 
-Meaning = Literal["answer", "failure", "not_executed"]
+Disposition = Literal["answer", "failure", "not_executed"]
 
-MOVED = 421  # the address has been given to another upstream
+MISDIRECTED_REQUEST = 421  # the address now belongs to another upstream
 
 
 @attrs.frozen
 class Reply:
-    """Hold the head of an answer, and the connection its body comes on."""
+    """The head of a response, and the connection that its body arrives on."""
 
     upstream: Upstream
     connection: UpstreamConnection
-    head: Head
-    meaning: Meaning
+    head: ResponseHead
+    disposition: Disposition
 
     @property
     def is_success(self) -> bool:
-        """Tell whether the upstream says that it did what was asked."""
+        """Return whether the status is 2xx."""
         return 200 <= self.head.status < 300
 
 
 class Exchange:
-    """Send calls on kept connections."""
+    """Sends calls on pooled connections and classifies the responses."""
 
     def __init__(
         self, pool: ConnectionPool, names: HeaderNames, clock: Clock
     ) -> None:
-        """Take connections from `pool`."""
+        """Create a client that acquires connections from `pool`."""
         self._pool = pool
         self._names = names
         self._clock = clock
@@ -56,79 +56,89 @@
         upstream: Upstream,
         extra: Iterable[tuple[str, str]] = (),
     ) -> Reply:
-        """Send a call and return the head of its answer.
+        """Send a call and return the head of its response.
 
         Raises `UpstreamUnreachableError` when nothing was sent and
-        `UpstreamBrokenError` when it may have run. A cancellation closes
-        the connection, so that the upstream stops.
+        `UpstreamBrokenError` when the request may have run. Cancellation
+        closes the connection, so that the upstream stops.
         """
-        connection = await self._pool.take(upstream)
-        ran_before = attempt.may_have_run
-        attempt.sending()
+        connection = await self._pool.acquire(upstream)
+        may_have_run_before = attempt.may_have_run
+        attempt.record_send()
         headers = upstream_headers(
-            call, self._names, upstream.id, self._left_ms(call), extra
+            call, self._names, upstream.id, self._remaining_ms(call), extra
         )
         connection.send(
             call.method, call.request.target, headers, call.request.body
         )
         try:
             head = await connection.read_head(
-                lambda head: self._is_own(head, call)
+                lambda head: self._is_response_to(head, call)
             )
         except asyncio.CancelledError:
             connection.close()
             raise
-        meaning = self._meaning(head)
-        if meaning == "not_executed":
-            attempt.not_executed(ran_before)
-        reply = Reply(upstream, connection, head, meaning)
-        self._check(reply)
+        disposition = self._classify(head)
+        if disposition == "not_executed":
+            attempt.record_not_executed(may_have_run_before)
+        reply = Reply(upstream, connection, head, disposition)
+        self._require_signature(reply)
         return reply
 
-    async def read_whole(self, reply: Reply, most_bytes: int) -> bytes:
-        """Return the body; raise `UpstreamBrokenError`."""
-        parts: list[bytes] = []
+    async def read_full_body(self, reply: Reply, max_bytes: int) -> bytes:
+        """Return the complete body.
+
+        Raises `UpstreamBrokenError` if it breaks off or exceeds `max_bytes`.
+        """
+        chunks: list[bytes] = []
         size = 0
         try:
-            async for part in reply.connection.read_body(reply.head):
-                size += len(part)
-                if size > most_bytes:
+            async for chunk in reply.connection.read_body(reply.head):
+                size += len(chunk)
+                if size > max_bytes:
                     raise UpstreamBrokenError(
-                        reply.upstream.name, f"over {most_bytes} bytes"
+                        reply.upstream.name,
+                        f"over {max_bytes} bytes",
                     )
-                parts.append(part)
+                chunks.append(chunk)
         except BaseException:
             reply.connection.close()
             raise
-        self._pool.give_back(reply.connection)
-        return b"".join(parts)
+        self._pool.release(reply.connection)
+        return b"".join(chunks)
 
-    def give_back(self, connection: UpstreamConnection) -> None:
-        """Keep a connection whose answer was read to its end."""
-        self._pool.give_back(connection)
+    def release_connection(self, connection: UpstreamConnection) -> None:
+        """Return a connection to the pool after a complete response."""
+        self._pool.release(connection)
 
-    def _left_ms(self, call: Call) -> int:
+    def _remaining_ms(self, call: Call) -> int:
         return int((call.give_up_s - self._clock.monotonic()) * 1_000)
 
-    def _is_own(self, head: Head, call: Call) -> bool:
-        """Tell whether an answer is to this call, by the id it repeats."""
-        answered = head.headers.get(self._names.request_id)
-        return answered is None or answered == call.request_id
+    def _is_response_to(self, head: ResponseHead, call: Call) -> bool:
+        """Return whether a response belongs to a call, by its request id."""
+        response_id = head.headers.get(self._names.request_id)
+        return response_id is None or response_id == call.request_id
 
-    def _meaning(self, head: Head) -> Meaning:
-        if head.status == MOVED or self._names.not_executed in head.headers:
+    def _classify(self, head: ResponseHead) -> Disposition:
+        if (
+            head.status == MISDIRECTED_REQUEST
+            or self._names.not_executed in head.headers
+        ):
             return "not_executed"
         return "failure" if head.status >= 500 else "answer"
 
-    def _check(self, reply: Reply) -> None:
-        """Close what claims success without the upstream's signature."""
+    def _require_signature(self, reply: Reply) -> None:
+        """Close the connection of a successful response without a signature.
+
+        Raises `UpstreamBrokenError` in that case.
+        """
         headers = reply.head.headers
-        is_sound = (
+        is_signed = (
             self._names.signature in headers
             and self._names.request_id in headers
             and "Content-Encoding" not in headers
         )
-        if reply.is_success and not is_sound:
+        if reply.is_success and not is_signed:
             reply.connection.close()
             raise UpstreamBrokenError(
                 reply.upstream.name, "a success without its signature"
--- a/src/balsamlift/relay/_frontend.py
+++ b/src/balsamlift/relay/_frontend.py
@@ -1,4 +1,4 @@
-"""The address for callers: HTTP in, byte for byte the upstream's answer."""
+"""HTTP server for callers."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from balsamlift._tasks import end_task
 from balsamlift.clock import Clock
 from balsamlift.kernel import Kernel
-from balsamlift.relay._callers_stream import (
-    MOST_READ_HEAD_BYTES,
+from balsamlift.relay._caller_stream import (
+    MAX_READ_HEAD_BYTES,
     CallerStream,
 )
 from balsamlift.relay._configuration import CallerLimits
@@ -34,47 +34,52 @@
 
 log = logger.bind(part="callers")
 
-# Until a configuration says otherwise. Operators let callers rest for a
-# quarter of a minute; no caller is late before the first one has come.
+# In force until the first configuration arrives. Operators configure idle
+# timeouts of about 15 s; these limits are higher, so that no caller is timed
+# out before then.
 FIRST_LIMITS = CallerLimits(
     body_bytes=4_194_304,
     head_bytes=65_536,
     head_timeout_ms=30_000,
     idle_timeout_ms=120_000,
 )
-# Connections are looked through this often for callers that are late, who
-# may so be a quarter of a second over their limit.
-LATE_LOOK_S = 0.25
-# A whole body may take as long as the longest generation.
+# Interval between checks for timed-out connections, which may exceed their
+# limit by as much.
+TIMEOUT_CHECK_INTERVAL_S = 0.25
+# A complete body may take as long as the longest generation.
 BODY_TIMEOUT_S = 120.0
 
-Handle = Callable[[CallerRequest, Responder], Awaitable[None]]
+RequestHandler = Callable[[CallerRequest, Responder], Awaitable[None]]
 
 
 class TornadoResponder:
-    """Answer on one tornado connection."""
+    """Responds on one Tornado connection."""
 
     def __init__(
-        self, connection: HTTPConnection, closes: Callable[[], bool]
+        self, connection: HTTPConnection, should_close: Callable[[], bool]
     ) -> None:
-        """Tell the caller to close after the answer where `closes()`."""
+        """Create a responder.
+
+        If `should_close()` is true when a response starts, it carries
+        `Connection: close`.
+        """
         self._connection = connection
-        self._closes = closes
+        self._should_close = should_close
         self._is_started = False
         self._is_finished = False
 
     @property
     def is_started(self) -> bool:
-        """Tell whether the head was sent."""
+        """Return whether the response head was sent."""
         return self._is_started
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether the answer has ended, whole or not."""
+        """Return whether the response has ended, complete or aborted."""
         return self._is_finished
 
     def refuse(self, refusal: Refusal) -> None:
-        """Send a whole answer of the relay's own."""
+        """Send a complete response that refuses the request."""
         body = f"{refusal.reason}\n".encode()
         headers = HTTPHeaders(
             {"Content-Type": "text/plain", "Content-Length": str(len(body))}
@@ -89,20 +94,20 @@
     async def start(
         self, status: int, reason: str, headers: HTTPHeaders
     ) -> None:
-        """Send the head of an upstream's answer."""
+        """Send the head of an upstream's response."""
         await self._write_head(status, reason, headers, None)
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the body; wait while the caller does not read."""
+        """Send a chunk of the body; wait while the caller does not read."""
         await self._connection.write(data)
 
     def finish(self) -> None:
-        """End the answer as complete."""
+        """End the response as complete."""
         self._is_finished = True
         self._connection.finish()
 
     def abort(self) -> None:
-        """Close the connection, so that the answer is not taken as whole."""
+        """Close the connection, so that the response appears truncated."""
         self._is_finished = True
         assert isinstance(self._connection, HTTP1Connection)
         self._connection.close()
@@ -115,18 +120,19 @@
         body: bytes | None,
     ) -> Awaitable[None]:
         self._is_started = True
-        if self._closes():
+        if self._should_close():
             headers["Connection"] = "close"
         line = ResponseStartLine("HTTP/1.1", status, reason)
-        # Without this an event waits for the acknowledgement of the last.
+        # With Nagle's algorithm, an event would wait for the
+        # acknowledgement of the previous one.
         stream = getattr(self._connection, "stream", None)
         if stream is not None and not stream.closed():
             stream.set_nodelay(True)
         return self._connection.write_headers(line, headers, body)
 
 
-class _Message(HTTPMessageDelegate):
-    """Collect one request, then run it as a task of its own."""
+class _RequestReader(HTTPMessageDelegate):
+    """Reads one request, then handles it in a separate task."""
 
     def __init__(
         self, frontend: Frontend, connection: HTTP1Connection
@@ -139,7 +145,7 @@
         self._responder = TornadoResponder(
             connection, lambda: frontend.is_closing
         )
-        self._parts: list[bytes] = []
+        self._body_chunks: list[bytes] = []
         self._size = 0
         self._task: asyncio.Task[None] | None = None
 
@@ -152,7 +158,7 @@
         self._start_line = start_line
         self._headers = headers
         self._arrived_s = self._frontend.clock.monotonic()
-        self._stream.end_head()
+        self._stream.head_received()
         limits = self._frontend.limits
         length = headers.get("Content-Length", "")
         if _head_bytes(start_line, headers) > limits.head_bytes:
@@ -164,7 +170,7 @@
         if self._responder.is_started:
             return
         self._size += len(chunk)
-        self._parts.append(chunk)
+        self._body_chunks.append(chunk)
         if self._size > self._frontend.limits.body_bytes:
             self._refuse(413)
 
@@ -178,18 +184,18 @@
             method=self._start_line.method,
             target=self._start_line.path,
             headers=self._headers,
-            body=b"".join(self._parts),
+            body=b"".join(self._body_chunks),
             arrived_s=self._arrived_s,
         )
         self._task = asyncio.create_task(self._run(request))
-        # Tornado tells a message of its connection's end only while it is
-        # being read; from here on, the callback does.
+        # Tornado reports a closed connection to this delegate only while the
+        # request is being read; from here on, the callback does.
         self._connection.set_close_callback(self.on_connection_close)
         self._frontend.tasks.add(self._task)
         self._task.add_done_callback(self._frontend.tasks.discard)
 
     def on_connection_close(self) -> None:
-        """Give the request up: its caller is gone."""
+        """Cancel the request, as its caller has disconnected."""
         if self._task is not None:
             self._task.cancel()
 
@@ -198,74 +204,76 @@
             await self._frontend.handle(request, self._responder)
         finally:
             if not self._responder.is_finished:
-                # Never leave a caller with half an answer to wait for.
+                # Otherwise the caller would wait for the rest of the response.
                 self._responder.abort()
 
     def _refuse(self, status: int) -> None:
-        self._parts.clear()
+        self._body_chunks.clear()
         reason = responses.get(status, "refused").lower()
         self._responder.refuse(Refusal(status=status, reason=reason))
 
 
 class Frontend(HTTPServerConnectionDelegate):
-    """Serve callers on one address."""
+    """HTTP server that accepts callers on one address."""
 
     name = "frontend"
 
     def __init__(self, address: str, clock: Clock) -> None:
-        """Bind `address`, "IP:port"."""
+        """Bind `address`, given as "IP:port"."""
         ip, port = split_address(address)
         self._sockets = bind_sockets(port, ip)
         bound_port = self._sockets[0].getsockname()[1]
         self.address = join_address(ip, bound_port)
         self.clock = clock
         self.limits = FIRST_LIMITS
-        self.is_closing = False  # answers tell callers to go elsewhere
+        self.is_closing = False  # responses carry "Connection: close"
         self.tasks: set[asyncio.Task[None]] = set()
-        self._handle: Handle = _refuse_all
+        self._handle: RequestHandler = _refuse_all
         self._streams: set[CallerStream] = set()
-        self._ends: list[Callable[[], None]] = []  # of accepting
-        self._look: asyncio.Task[None] | None = None
+        self._remove_accept_handlers: list[Callable[[], None]] = []
+        self._timeout_task: asyncio.Task[None] | None = None
         self._server = HTTPServer(
             self,
-            max_header_size=MOST_READ_HEAD_BYTES,
-            max_body_size=1 << 40,  # checked here, for a fitting status
+            max_header_size=MAX_READ_HEAD_BYTES,
+            max_body_size=1
+            << 40,  # checked in `_RequestReader`, which sends 413
             body_timeout=BODY_TIMEOUT_S,
         )
 
-    def serve(self, handle: Handle) -> None:
-        """Run each request through `handle`."""
+    def serve(self, handle: RequestHandler) -> None:
+        """Pass each request to `handle`."""
         self._handle = handle
 
     async def handle(
         self, request: CallerRequest, responder: Responder
     ) -> None:
-        """Run one request."""
+        """Handle one request."""
         await self._handle(request, responder)
 
     def start_request(
         self, server_conn: object, request_conn: HTTPConnection
     ) -> HTTPMessageDelegate:
-        """Return the collector of the next request."""
+        """Return the delegate that reads the next request."""
         del server_conn
         assert isinstance(request_conn, HTTP1Connection)
-        return _Message(self, request_conn)
+        return _RequestReader(self, request_conn)
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to accept connections."""
+        """Start accepting connections."""
         del kernel
-        self._ends = [
-            add_accept_handler(each, self._accept) for each in self._sockets
+        self._remove_accept_handlers = [
+            add_accept_handler(listener, self._accept)
+            for listener in self._sockets
         ]
-        self._look = asyncio.create_task(self._keep_looking())
+        self._timeout_task = asyncio.create_task(self._check_timeouts())
 
     async def stop(self) -> None:
-        """Close the address and its connections."""
-        for end in self._ends:
-            end()
-        for each in self._sockets:
-            each.close()
-        await end_task(self._look)
+        """Stop listening and close all connections."""
+        for remove_handler in self._remove_accept_handlers:
+            remove_handler()
+        for listener in self._sockets:
+            listener.close()
+        await end_task(self._timeout_task)
         for task in list(self.tasks):
             task.cancel()
         await self._server.close_all_connections()
@@ -275,21 +283,21 @@
         self._streams.add(stream)
         self._server.handle_stream(stream, address)
 
-    async def _keep_looking(self) -> None:
+    async def _check_timeouts(self) -> None:
         while True:
-            await self.clock.sleep(LATE_LOOK_S)
+            await self.clock.sleep(TIMEOUT_CHECK_INTERVAL_S)
             self._streams = {s for s in self._streams if not s.closed()}
             for stream in self._streams:
-                stream.end_if_late(self.limits)
+                stream.close_if_timed_out(self.limits)
 
     async def wait_idle(self) -> None:
-        """Wait until no request runs."""
+        """Wait until no request is being handled."""
         while self.tasks:
             await asyncio.wait(set(self.tasks))
 
 
 def _head_bytes(line: RequestStartLine, headers: HTTPHeaders) -> int:
-    """Return the length of a head as it is written in full."""
+    """Return the length of a request head as sent on the wire."""
     size = len(" ".join((line.method, line.path, line.version))) + 4
     return size + sum(len(n) + len(v) + 4 for n, v in headers.get_all())
 
--- a/src/balsamlift/relay/_generation.py
+++ b/src/balsamlift/relay/_generation.py
@@ -1,4 +1,4 @@
-"""One generation: from its first upstream to its last event."""
+"""Relay of one generation to its caller, resumed on other engines."""
 
 from __future__ import annotations
 
@@ -31,33 +31,34 @@
 
 log = logger.bind(part="generations")
 
-# Parts of an answer that wait for a caller who does not read, 64 KB each.
-PARTS_AHEAD = 8
-# An engine admits what goes on from a copy before all else; one that does
-# not answer within this time will not take it.
-RESUME_S = 1.0
-# The answer to the last copy comes when it is done.
-COPY_ANSWER_S = 1.0
+# Chunks of up to 64 KB buffered for a caller who does not read.
+MAX_BUFFERED_CHUNKS = 8
+# An engine admits a resumed generation before all other work; one that does
+# not respond within this time will not take it.
+RESUME_TIMEOUT_S = 1.0
+# The response to the last copy arrives once the copy is complete.
+COPY_TIMEOUT_S = 1.0
 
 Signal = Literal["whole", "broken", "leaving"]
 
 
 @attrs.define
-class Course:
-    """Hold what a caller saw of a generation, for the log."""
+class StreamStats:
+    """Statistics of a generation as its caller saw it, for the log."""
 
-    first_ms: int | None = None  # until the first event was passed on
-    gap_ms: int = 0  # the longest pause between events
-    events: int = 0  # passed on
+    first_ms: int | None = None  # from arrival to the first forwarded event
+    gap_ms: int = 0  # longest pause between events
+    events: int = 0  # forwarded
     moves: int = 0
 
 
 class Generation:
-    """Relay the events of one generation, over as many engines as it takes.
+    """Relays the events of one generation, across engines if needed.
 
-    The caller sees one stream. Never do two engines work on it: the next
-    one is asked only after the one before has stopped, or is left at once
-    when the next has taken over.
+    The caller sees a single stream. Two engines never work on it at the
+    same time: the next engine is asked only after the previous one has
+    stopped, or the previous one is disconnected as soon as the next has
+    taken over.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         holding: Holding,
         backup: Backup,
     ) -> None:
-        """Prepare to relay to `responder`."""
+        """Create a relay to `responder`; `relay` starts it."""
         self._tools = tools
         self._job = job
         self._responder = responder
@@ -76,28 +77,28 @@
         self._backup = backup
         self._splitter = EventSplitter()
         self._inbox: asyncio.Queue[bytes | Signal] = asyncio.Queue()
-        self._room = asyncio.Semaphore(PARTS_AHEAD)
-        self._pump: asyncio.Task[None] | None = None
+        self._buffer_slots = asyncio.Semaphore(MAX_BUFFERED_CHUNKS)
+        self._read_task: asyncio.Task[None] | None = None
         self._reply: Reply | None = None
         self._move: Move | None = None
-        self._moving: asyncio.Task[Copy | None] | None = None
-        self._seen_s = asyncio.get_running_loop().time()
+        self._move_task: asyncio.Task[Copy | None] | None = None
+        self._last_event_s = asyncio.get_running_loop().time()
         self._lost_engines = 0
-        self.course = Course()
+        self.stats = StreamStats()
 
     @property
     def upstream(self) -> Upstream | None:
-        """Return the engine at work on it."""
+        """Return the engine that currently runs the generation."""
         return self._reply.upstream if self._reply else None
 
-    def leave(self) -> None:
-        """Go on at another engine, as this one is leaving."""
+    def leave_engine(self) -> None:
+        """Continue on another engine, as the current one is leaving."""
         self._inbox.put_nowait("leaving")
 
     async def relay(self, reply: Reply) -> str:
-        """Relay the answer that `reply` begins; return the outcome."""
+        """Relay the response that starts with `reply`; return the outcome."""
         responder = self._responder
-        self._begin(reply)
+        self._start_reading(reply)
         head = reply.head
         try:
             await responder.start(
@@ -107,38 +108,38 @@
         except StreamClosedError:
             return "caller gone"
         finally:
-            self._end_pump()
+            self._stop_reading()
             try:
-                await end_task(self._moving)
+                await end_task(self._move_task)
             finally:
                 self._release_claim()
 
-    # Reading from the engine at work
+    # Reading from the current engine
 
-    def _begin(self, reply: Reply) -> None:
+    def _start_reading(self, reply: Reply) -> None:
         self._reply = reply
-        self._pump = asyncio.create_task(self._keep_pumping(reply))
+        self._read_task = asyncio.create_task(self._read_body(reply))
 
-    def _end_pump(self) -> None:
-        """Close the engine's connection, unless it ended by itself.
+    def _stop_reading(self) -> None:
+        """Close the engine's connection unless its response has ended.
 
-        Nothing is waited for: the caller's leaving cancels waits, and the
-        engine would stay at work until the deadline.
+        This does not wait: a wait would be cancelled when the caller
+        disconnects, and the engine would then run until the deadline.
         """
-        pump, self._pump = self._pump, None
-        if pump is None or pump.done():
+        read_task, self._read_task = self._read_task, None
+        if read_task is None or read_task.done():
             return
-        pump.cancel()
+        read_task.cancel()
         if self._reply is not None:
             self._reply.connection.close()
 
-    async def _keep_pumping(self, reply: Reply) -> None:
+    async def _read_body(self, reply: Reply) -> None:
         has_output = False
         try:
-            async for part in reply.connection.read_body(reply.head):
+            async for chunk in reply.connection.read_body(reply.head):
                 has_output = True
-                await self._room.acquire()
-                self._inbox.put_nowait(part)
+                await self._buffer_slots.acquire()
+                self._inbox.put_nowait(chunk)
         except UpstreamBrokenError as error:
             log.bind(
                 request=self._job.request_id,
@@ -150,113 +151,114 @@
                 self._job.call, reply.upstream, had_output=has_output
             )
             return
-        self._tools.exchange.give_back(reply.connection)
+        self._tools.exchange.release_connection(reply.connection)
         self._inbox.put_nowait("whole")
 
     async def _relay(self) -> str:
         while True:
             item = await self._inbox.get()
             if isinstance(item, bytes):
-                self._room.release()
-                if not await self._pass_on(item):
+                self._buffer_slots.release()
+                if not await self._forward(item):
                     return self._fail("events out of order")
             elif item == "whole":
-                if self._splitter.rest:
+                if self._splitter.incomplete:
                     return self._fail("ended within an event")
                 self._responder.finish()
                 self._tools.crash_guard.record_completed(self._job.call)
                 return "whole"
             elif item == "leaving":
-                if not await self._go_on_at_backup():
-                    self._start_moving()
-            elif not await self._go_on():
+                if not await self._resume_at_backup():
+                    self._start_move()
+            elif not await self._resume_elsewhere():
                 return self._fail("engine lost")
 
-    async def _pass_on(self, data: bytes) -> bool:
+    async def _forward(self, data: bytes) -> bool:
         try:
             events = self._splitter.feed(data)
         except EventError as error:
             log.bind(request=self._job.request_id).warning("{}", error)
             return False
         if events:
-            self._note_events()
+            self._record_events()
             await self._responder.write(events)
         return True
 
-    def _note_events(self) -> None:
-        self.course.events = self._splitter.last_id + 1
+    def _record_events(self) -> None:
+        self.stats.events = self._splitter.last_id + 1
         now_s = asyncio.get_running_loop().time()
-        gap_ms = (now_s - self._seen_s) * 1_000
-        self._seen_s = now_s
-        if self.course.first_ms is None:
+        gap_ms = (now_s - self._last_event_s) * 1_000
+        self._last_event_s = now_s
+        if self.stats.first_ms is None:
             arrived_s = self._job.call.request.arrived_s
-            self.course.first_ms = round((now_s - arrived_s) * 1_000)
+            self.stats.first_ms = round((now_s - arrived_s) * 1_000)
         else:
-            self.course.gap_ms = max(self.course.gap_ms, round(gap_ms))
+            self.stats.gap_ms = max(self.stats.gap_ms, round(gap_ms))
 
     def _fail(self, reason: str) -> str:
-        self._end_pump()
+        self._stop_reading()
         self._responder.abort()
         return reason
 
     # Moving to another engine
 
-    def _start_moving(self) -> None:
-        if not self._job.traits.can_move or self._moving is not None:
+    def _start_move(self) -> None:
+        if not self._job.traits.can_move or self._move_task is not None:
             return
         self._move = Move(self._tools, self._job, self._holding.upstream)
-        self._moving = asyncio.create_task(self._move.run())
+        self._move_task = asyncio.create_task(self._move.run())
 
-    async def _go_on(self) -> bool:
-        """Go on where the memory is, after the engine at work has ended."""
-        copy = await self._end_moving()
+    async def _resume_elsewhere(self) -> bool:
+        """Resume where the memory is, after the current engine has ended."""
+        copy = await self._finish_move()
         try:
             if copy is None:
                 return await self._recover()
             source = f"{copy.source.address}/{copy.handle}"
-            return await self._go_on_at(copy.target, source)
+            return await self._resume_at(copy.target, source)
         finally:
             self._release_claim()
 
     async def _recover(self) -> bool:
-        """Go on at the backup unless too many engines were lost.
+        """Resume at the backup unless too many engines were lost.
 
         The crash check has not finished yet, so each lost engine counts as
-        crashed. Prevents one generation from crashing its backups in turn.
+        crashed. This prevents one generation from crashing its backups in
+        turn.
         """
         self._lost_engines += 1
         if self._lost_engines >= CRASH_THRESHOLD:
             return False
-        return await self._go_on_at_backup()
+        return await self._resume_at_backup()
 
     def _release_claim(self) -> None:
         if self._move is not None:
             self._move.release()
 
-    async def _end_moving(self) -> Copy | None:
-        """Return the copy for which the engine was stopped, if it was.
+    async def _finish_move(self) -> Copy | None:
+        """Return the copy for which the engine was stopped, or None.
 
-        Else the engine was lost, and a move under way comes to nothing.
+        With None, the engine was lost and any move in progress has failed.
         """
-        moving, self._moving = self._moving, None
-        if moving is None:
+        move_task, self._move_task = self._move_task, None
+        if move_task is None:
             return None
         with suppress(TimeoutError):
-            return await asyncio.wait_for(moving, COPY_ANSWER_S)
+            return await asyncio.wait_for(move_task, COPY_TIMEOUT_S)
         return None
 
-    async def _go_on_at_backup(self) -> bool:
-        """Go on at the engine that was sent the memory as it grew."""
+    async def _resume_at_backup(self) -> bool:
+        """Resume at the engine that received the memory as it grew."""
         upstream = self._backup.take()
         if upstream is None:
             return False
         source = f"{upstream.address}/{self._job.request_id}"
-        return await self._go_on_at(upstream, source)
+        return await self._resume_at(upstream, source)
 
-    async def _go_on_at(self, upstream: Upstream, source: str) -> bool:
+    async def _resume_at(self, upstream: Upstream, source: str) -> bool:
         before = self._holding.upstream
         self._backup.choose(upstream)
-        reply = await self._resume(upstream, source)
+        reply = await self._request_resume(upstream, source)
         log.bind(
             request=self._job.request_id,
             upstream=before.name,
@@ -267,21 +269,23 @@
         if reply is None:
             self._backup.release()
             return False
-        self.course.moves += 1
+        self.stats.moves += 1
         self._tools.metrics.count("generations.moved")
-        self._end_pump()
-        self._forget_parts()
+        self._stop_reading()
+        self._discard_buffered()
         self._holding.move(upstream)
         self._splitter = EventSplitter(self._splitter.last_id)
-        self._begin(reply)
+        self._start_reading(reply)
         return True
 
-    def _forget_parts(self) -> None:
-        """Drop what came from the engine before: the next one repeats it."""
+    def _discard_buffered(self) -> None:
+        """Drop chunks of the previous engine, which the next one repeats."""
         self._inbox = asyncio.Queue()
-        self._room = asyncio.Semaphore(PARTS_AHEAD)
+        self._buffer_slots = asyncio.Semaphore(MAX_BUFFERED_CHUNKS)
 
-    async def _resume(self, upstream: Upstream, source: str) -> Reply | None:
+    async def _request_resume(
+        self, upstream: Upstream, source: str
+    ) -> Reply | None:
         if self._tools.crash_guard.is_culprit(self._job.call):
             return None
         if self._tools.upstreams.is_in_evacuation(upstream):
@@ -290,14 +294,14 @@
         extra = [(names.resume_source, source), *self._backup.headers()]
         if self._splitter.last_id >= 0:
             extra.append((names.last_event_id, str(self._splitter.last_id)))
-        # It is the same run: it stops at the one engine as it goes on at
-        # the other.
+        # This is the same execution, stopped on one engine and resumed on
+        # the other, so it has an attempt of its own.
         attempt = Attempt(is_idempotent=False)
         self._tools.balancer.sending(upstream)
         with suppress(
             UpstreamUnreachableError, UpstreamBrokenError, TimeoutError
         ):
-            async with asyncio.timeout(RESUME_S):
+            async with asyncio.timeout(RESUME_TIMEOUT_S):
                 reply = await self._tools.exchange.send(
                     self._job.call, attempt, upstream, extra
                 )
--- a/src/balsamlift/relay/_generations.py
+++ b/src/balsamlift/relay/_generations.py
@@ -1,4 +1,4 @@
-"""Calls to engines: find room, start, and relay until the end."""
+"""Generations: reserve engine memory, start, and relay the stream."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 from balsamlift.peers import Upstream, Upstreams
 from balsamlift.relay._admission import Admission
-from balsamlift.relay._attempt import MOST_UNREACHABLE, Attempt
+from balsamlift.relay._attempt import MAX_UNREACHABLE_UPSTREAMS, Attempt
 from balsamlift.relay._backup import Backup
 from balsamlift.relay._balance import prefill_key
 from balsamlift.relay._configuration import EngineTraits
@@ -36,22 +36,24 @@
 
 log = logger.bind(part="generations")
 
-MOST_SENDS = 4  # engines asked to start one generation
-MOST_FAILURE_BYTES = 65_536  # of an engine's answer that is no stream
-TIMED_OUT = 504  # an engine's answer at the caller's deadline
-# What a generation takes on crowded engines.
-START_S = 1.0
-TOKEN_S = 0.012
-# What begins after its target is late; a caller who is told sooner can come
-# back in time.
-WAIT_TARGETS = 1.0
-# Where the operators tell nothing of the engines of a service.
-UNTOLD = EngineTraits(memory_tokens=1 << 40)
+MAX_SENDS = 4  # of one request, to start a generation
+MAX_ERROR_BODY_BYTES = 65_536  # of an engine's response that is not a stream
+GATEWAY_TIMEOUT = 504  # from an engine, at the caller's deadline
+# Expected duration of a generation on heavily loaded engines: a fixed part and
+# a part per output token.
+EXPECTED_START_S = 1.0
+EXPECTED_TOKEN_S = 0.012
+# Longest wait for memory, as a multiple of the route's target latency. A
+# generation that starts after its target is late, and a caller who is refused
+# sooner can retry in time.
+MAX_WAIT_FACTOR = 1.0
+# Used where the configuration does not describe the engines of a service.
+DEFAULT_TRAITS = EngineTraits(memory_tokens=1 << 40)
 
 
 @attrs.frozen
 class _Started:
-    """Hold an engine's answer and the memory held there."""
+    """An engine's response and the memory reserved for the generation."""
 
     reply: Reply
     holding: Holding
@@ -59,7 +61,7 @@
 
 
 class Generations:
-    """Run generations, and take them off engines that leave."""
+    """Runs generations, and moves them off engines that are leaving."""
 
     def __init__(
         self,
@@ -68,37 +70,40 @@
         retries: Retries,
         upstreams: Upstreams,
     ) -> None:
-        """Watch `upstreams` for engines that leave."""
+        """Subscribe to changes of `upstreams` to detect leaving engines."""
         self._tools = tools
         self._admission = admission
         self._retries = retries
         self._upstreams = upstreams
         self._running: set[Generation] = set()
-        self._leaves_s: float | None = None
-        upstreams.on_change(self._look)
+        self._leaves_at_s: float | None = None
+        upstreams.on_change(self._move_off_leaving_engines)
 
-    def leave(self, by_s: float) -> None:
-        """Begin only what is expected to end by then, on the loop's clock."""
-        self._leaves_s = by_s
+    def leave(self, leaves_at_s: float) -> None:
+        """Start only generations expected to end by `leaves_at_s`.
+
+        The time is on the event loop's clock.
+        """
+        self._leaves_at_s = leaves_at_s
 
     def _fits_before_leaving(self, need: Need) -> bool:
-        if self._leaves_s is None:
+        if self._leaves_at_s is None:
             return True
-        left_s = self._leaves_s - asyncio.get_running_loop().time()
-        took_s = START_S + need.output_tokens * TOKEN_S
-        return took_s <= left_s
+        remaining_s = self._leaves_at_s - asyncio.get_running_loop().time()
+        expected_s = EXPECTED_START_S + need.output_tokens * EXPECTED_TOKEN_S
+        return expected_s <= remaining_s
 
     async def run(self, call: Call, responder: Responder) -> Outcome:
-        """Answer the caller; return the outcome for the log."""
+        """Respond to the caller and return the outcome for the log."""
         attempt = Attempt(is_idempotent=False)
         need = read_need(call.request.headers, self._tools.names)
         if not self._fits_before_leaving(need):
-            # Another host will finish it; this one would have to cut it off.
+            # Another host can finish it; this one would have to abort it.
             refusal = give_up(attempt, "host is leaving", 0)
             responder.refuse(refusal)
             return Outcome(refusal.reason)
         service = call.table.services.get(call.service)
-        traits = (service.engine if service else None) or UNTOLD
+        traits = (service.engine if service else None) or DEFAULT_TRAITS
         job = Job(call, need, traits)
         try:
             async with asyncio.timeout_at(call.give_up_s):
@@ -118,7 +123,7 @@
     async def _start(self, job: Job, attempt: Attempt) -> _Started | Refusal:
         call = job.call
         tried: set[str] = set()
-        dialled = 0
+        unreachable = 0
         while True:
             if self._tools.crash_guard.is_culprit(call):
                 return CRASHING_REQUEST
@@ -132,7 +137,7 @@
             backup = Backup(self._tools, job)
             backup.choose(holding.upstream)
             self._log_placed(call, holding, backup)
-            unread = Holding(
+            unread_prompt = Holding(
                 self._tools.balancer,
                 holding.upstream,
                 job.need.prompt_tokens,
@@ -151,19 +156,19 @@
                 backup.release()
                 raise
             finally:
-                unread.release()
+                unread_prompt.release()
             if isinstance(result, Reply):
                 return _Started(result, holding, backup)
             holding.release()
             backup.release()
             tried.add(holding.upstream.name)
             if attempt.sends == sends_before:
-                dialled += 1  # nothing reached the engine
-                if dialled >= MOST_UNREACHABLE:
+                unreachable += 1  # the request was not sent
+                if unreachable >= MAX_UNREACHABLE_UPSTREAMS:
                     return result
                 continue
-            spent = attempt.sends >= MOST_SENDS
-            if spent or not attempt.certainly_not_run:
+            sends_exhausted = attempt.sends >= MAX_SENDS
+            if sends_exhausted or not attempt.certainly_not_run:
                 return result
             if not self._retries.spend(call.service):
                 return result
@@ -171,10 +176,10 @@
     async def _wait_for_room(
         self, job: Job, tried: set[str]
     ) -> Holding | None:
-        """Return room in an engine; None where it comes too late."""
+        """Return memory reserved in an engine, or None if it took too long."""
         call = job.call
         target_s = call.route.target_ms / 1_000
-        wait_by_s = call.request.arrived_s + target_s * WAIT_TARGETS
+        wait_by_s = call.request.arrived_s + target_s * MAX_WAIT_FACTOR
         try:
             async with asyncio.timeout_at(wait_by_s):
                 await self._tools.balancer.refresh()
@@ -194,8 +199,8 @@
             request=call.request_id,
             upstream=upstream,
             tokens=holding.tokens,
-            load=balancer.load(upstream),  # with it
-            unread=balancer.load(prefill_key(upstream)),  # before it
+            load=balancer.load(upstream),  # including this call
+            unread=balancer.load(prefill_key(upstream)),  # excluding this call
             counts=balancer.counts_basis,
             backup=backup.upstream,
             waited_ms=round(waited_s * 1_000),
@@ -214,11 +219,11 @@
                 call, attempt, upstream, extra
             )
         except (UpstreamUnreachableError, UpstreamBrokenError) as error:
-            out_s = balancer.saw_break(upstream.name)
+            backoff_s = balancer.saw_break(upstream.name)
             log.bind(
                 request=call.request_id,
                 upstream=upstream.name,
-                out_ms=round(out_s * 1_000),
+                out_ms=round(backoff_s * 1_000),
                 may_have_run=attempt.may_have_run,
             ).warning("left alone: {}", error)
             if isinstance(error, UpstreamBrokenError):
@@ -226,7 +231,7 @@
                     call, upstream, had_output=False
                 )
             return give_up(attempt, "engine gave no answer")
-        if reply.meaning == "not_executed":
+        if reply.disposition == "not_executed":
             reply.connection.close()
             log.bind(
                 request=call.request_id,
@@ -248,23 +253,23 @@
             self._tools, job, responder, started.holding, started.backup
         )
         self._running.add(generation)
-        if self._has_left(reply.upstream):
-            generation.leave()  # the notice came before the first event
+        if self._is_leaving(reply.upstream):
+            generation.leave_engine()  # notified before the first event
         try:
             if not reply.is_success:
-                if reply.head.status != TIMED_OUT:
+                if reply.head.status != GATEWAY_TIMEOUT:
                     self._tools.balancer.saw_failure(reply.upstream.name)
                 return await self._pass_failure(reply, responder)
             self._tools.balancer.saw_success(reply.upstream.name)
             outcome = await generation.relay(reply)
-            course = generation.course
+            stats = generation.stats
             log.bind(
                 request=job.request_id,
                 upstream=started.holding.upstream.name,
-                first_ms=course.first_ms,
-                gap_ms=course.gap_ms,
-                moves=course.moves,
-                events=course.events,
+                first_ms=stats.first_ms,
+                gap_ms=stats.gap_ms,
+                moves=stats.moves,
+                events=stats.events,
                 prompt_tokens=job.need.prompt_tokens,
                 output_tokens=job.need.output_tokens,
             ).info("stream: {}", outcome)
@@ -275,10 +280,10 @@
             started.backup.release()
 
     async def _pass_failure(self, reply: Reply, responder: Responder) -> str:
-        """Pass on an answer that is no stream, as the engine gave it."""
+        """Forward an error response of the engine unchanged."""
         try:
-            body = await self._tools.exchange.read_whole(
-                reply, MOST_FAILURE_BYTES
+            body = await self._tools.exchange.read_full_body(
+                reply, MAX_ERROR_BODY_BYTES
             )
         except UpstreamBrokenError:
             responder.refuse(Refusal(status=502, reason="engine broke off"))
@@ -292,19 +297,19 @@
         responder.finish()
         return f"answered {head.status}"
 
-    def in_use(self) -> list[Upstream]:
-        """Return the engines that run generations of this host, as known."""
+    def engines_in_use(self) -> list[Upstream]:
+        """Return the listed engines that run generations of this host."""
         names = {g.upstream.name for g in self._running if g.upstream}
         found = [self._upstreams.find(name) for name in names]
         return [upstream for upstream in found if upstream is not None]
 
-    def _look(self) -> None:
-        """Take generations off engines that leave or are no longer listed."""
+    def _move_off_leaving_engines(self) -> None:
+        """Move generations off engines that leave or are no longer listed."""
         for generation in self._running:
             upstream = generation.upstream
-            if upstream is not None and self._has_left(upstream):
-                generation.leave()
+            if upstream is not None and self._is_leaving(upstream):
+                generation.leave_engine()
 
-    def _has_left(self, upstream: Upstream) -> bool:
+    def _is_leaving(self, upstream: Upstream) -> bool:
         known = self._upstreams.find(upstream.name)
         return known is None or known.state == "leaving"
--- a/src/balsamlift/relay/_pool.py
+++ b/src/balsamlift/relay/_pool.py
@@ -1,4 +1,4 @@
-"""Connections kept to upstreams, each to one incarnation."""
+"""Pool of idle connections to upstreams."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from balsamlift.peers import Upstream
 from balsamlift.relay._connection import UpstreamConnection
 
-MOST_KEPT = 16  # idle connections to one upstream
+MAX_IDLE_CONNECTIONS = 16  # per upstream
 
 
 class ConnectionPool:
-    """Keep idle connections by the incarnation that they lead to."""
+    """Idle connections, grouped by upstream incarnation."""
 
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
-        """Begin with none."""
+        """Create an empty pool."""
         self._clock = clock
         self._metrics = metrics
         self._idle: dict[str, deque[UpstreamConnection]] = {}
 
-    async def take(self, upstream: Upstream) -> UpstreamConnection:
-        """Return a connection for one request; a new one if need be.
+    async def acquire(self, upstream: Upstream) -> UpstreamConnection:
+        """Return an idle connection, or open one.
 
         Raises `UpstreamUnreachableError`.
         """
         idle = self._idle.get(upstream.name)
         while idle:
             connection = idle.pop()
-            if connection.can_take():
+            if connection.is_reusable():
                 return connection
             connection.close()
         connection = UpstreamConnection(
@@ -39,20 +39,20 @@
         await connection.connect()
         return connection
 
-    def give_back(self, connection: UpstreamConnection) -> None:
-        """Keep a connection whose answer was read to its end."""
-        if not connection.can_take():
+    def release(self, connection: UpstreamConnection) -> None:
+        """Return a connection to the pool after a complete response."""
+        if not connection.is_reusable():
             connection.close()
             return
         idle = self._idle.setdefault(connection.upstream, deque())
         idle.append(connection)
-        if len(idle) > MOST_KEPT:
+        if len(idle) > MAX_IDLE_CONNECTIONS:
             idle.popleft().close()
 
     def sweep(self, live: set[str]) -> None:
-        """Close what cannot be used again."""
+        """Close connections that cannot be reused or are not to `live`."""
         for name, idle in list(self._idle.items()):
-            kept = deque(c for c in idle if name in live and c.can_take())
+            kept = deque(c for c in idle if name in live and c.is_reusable())
             for connection in idle:
                 if connection not in kept:
                     connection.close()
@@ -61,5 +61,5 @@
                 del self._idle[name]
 
     def close(self) -> None:
-        """Close all of them."""
+        """Close all idle connections."""
         self.sweep(set())
--- a/src/balsamlift/relay/_request.py
+++ b/src/balsamlift/relay/_request.py
@@ -1,4 +1,4 @@
-"""One request of a caller, and the answers that the relay gives itself."""
+"""Types for requests of callers, refusals and outcomes."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from tornado.httputil import HTTPHeaders
 
 from balsamlift.relay._configuration import Route, Workspace
-from balsamlift.relay._routing import Table
+from balsamlift.relay._routing import RoutingTable
 from balsamlift.relay._scope import Scope
 
 
 @attrs.frozen(kw_only=True)
 class CallerRequest:
-    """Hold a request as its caller sent it."""
+    """A request as received from its caller."""
 
     method: str
-    target: str  # path and query, passed on unchanged
+    target: str  # path and query, forwarded unchanged
     headers: HTTPHeaders
     body: bytes
     arrived_s: float  # monotonic, when its head had been read
@@ -25,75 +25,75 @@
 
 @attrs.frozen(kw_only=True)
 class Call:
-    """Hold a request that the configuration allows, and its bounds."""
+    """An admitted request, with its route, limits and deadlines."""
 
     request: CallerRequest
     request_id: str
-    table: Table
+    table: RoutingTable
     route: Route
     workspace: Workspace | None
     key: str
-    fingerprint: str  # equal for all repeats by the same caller
+    fingerprint: str  # the same for repeats by the same caller
     service: str
     regions: frozenset[str] | None  # where it may run; None: anywhere
     priority: int  # 0 is served first
     deadline_s: float  # monotonic; the caller waits no longer
-    give_up_s: float  # monotonic; the earlier of that and the route's bound
+    give_up_s: float  # monotonic; deadline or route timeout, if earlier
 
     @property
     def method(self) -> str:
-        """Return the method."""
+        """Return the HTTP method."""
         return self.request.method
 
     @property
     def scope(self) -> Scope:
-        """Return which upstreams may run it."""
+        """Return the service and regions whose upstreams may run it."""
         return Scope(self.service, self.regions)
 
     @property
     def is_idempotent(self) -> bool:
-        """Tell whether it may run more than once."""
+        """Return whether the request may run more than once."""
         return self.route.kind == "idempotent"
 
 
 @attrs.frozen(kw_only=True)
 class Refusal:
-    """Hold an answer of the relay's own."""
+    """A response that the relay sends instead of forwarding a call."""
 
     status: int
     reason: str
-    retry_after_ms: int | None = None  # with 503: it has not run
+    retry_after_ms: int | None = None  # with 503: the request did not run
 
 
 @attrs.frozen
 class Outcome:
-    """Hold how a call ended, for the log."""
+    """How a call ended, for the log."""
 
     text: str
-    upstream: str = ""  # that answered last, if any
+    upstream: str = ""  # that responded last, if any
     sends: int = 0
 
 
 class Responder(Protocol):
-    """Answer one caller."""
+    """Sends the response to one caller."""
 
     def refuse(self, refusal: Refusal) -> None:
-        """Send a whole answer of the relay's own."""
+        """Send a complete response that refuses the request."""
 
     async def start(
         self, status: int, reason: str, headers: HTTPHeaders
     ) -> None:
-        """Send the head of an upstream's answer."""
+        """Send the head of an upstream's response."""
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the body; wait while the caller does not read."""
+        """Send a chunk of the body; wait while the caller does not read."""
 
     def finish(self) -> None:
-        """End the answer as complete."""
+        """End the response as complete."""
 
     def abort(self) -> None:
-        """Close the connection, so that the answer is not taken as whole."""
+        """Close the connection, so that the response appears truncated."""
 
     @property
     def is_started(self) -> bool:
-        """Tell whether the head was sent."""
+        """Return whether the response head was sent."""
--- a/src/balsamlift/relay/_routing.py
+++ b/src/balsamlift/relay/_routing.py
@@ -1,4 +1,4 @@
-"""The routes in force: looked up per request, only ever moved forward."""
+"""Route lookup in the newest configuration that this host has received."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 @attrs.frozen
-class Table:
-    """Hold one configuration in the form in which requests look it up."""
+class RoutingTable:
+    """One configuration, indexed for lookup by requests."""
 
     configuration: Configuration
     services: dict[str, Service]
-    _routes: dict[str, dict[str, Route]]  # by host, then by path prefix
-    _workspaces: dict[str, Workspace]  # by key
+    _routes: dict[str, dict[str, Route]]  # by host name, then path prefix
+    _workspaces: dict[str, Workspace]  # by API key
 
     @property
     def version(self) -> int:
@@ -39,14 +39,14 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Tell whether callers have to name their workspace by a key."""
+        """Return whether callers must send the API key of a workspace."""
         return bool(self.configuration.workspaces)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of `path`.
+        """Return the route with the longest prefix of `path`, or None.
 
-        Every prefix ends with a slash, so that the cost is one look-up per
-        segment of the path, however many routes there are.
+        Every prefix ends with a slash, so the cost is one dictionary lookup
+        per path segment, independent of the number of routes.
         """
         routes = self._routes.get(host.lower())
         if routes is None:
@@ -67,16 +67,16 @@
         return bound_regions(*(route.regions for route in routes.values()))
 
     def find_workspace(self, key: str) -> Workspace | None:
-        """Return the workspace that holds a key."""
+        """Return the workspace that an API key belongs to, or None."""
         return self._workspaces.get(key)
 
 
-def compile_table(configuration: Configuration) -> Table:
-    """Return the look-up form of a configuration."""
+def compile_table(configuration: Configuration) -> RoutingTable:
+    """Return the routing table of a configuration."""
     routes: dict[str, dict[str, Route]] = {}
     for route in configuration.routes:
         routes.setdefault(route.host.lower(), {})[route.path_prefix] = route
-    return Table(
+    return RoutingTable(
         configuration,
         {service.name: service for service in configuration.services},
         routes,
@@ -89,7 +89,7 @@
 
 
 def pick_service(route: Route, rng: random.Random) -> str:
-    """Return one of the route's services, drawn by weight."""
+    """Return one of the route's services at random, by weight."""
     if len(route.services) == 1:
         return route.services[0].service
     names = [share.service for share in route.services]
@@ -104,35 +104,35 @@
 
 
 class Routing:
-    """Hold the newest configuration that this host has seen.
+    """The newest configuration that this host has received.
 
-    The version only goes up: a slow source, or a peer that lags, never
-    brings an older configuration back.
+    The version never decreases: an older configuration from a slow source
+    or a lagging peer is ignored.
     """
 
     name = "routing"
 
     def __init__(self, clock: Clock | None = None) -> None:
-        """Begin without a configuration."""
+        """Start without a configuration."""
         self.clock = clock or SystemClock()
         self._newest_reported = 0  # newest version reported by other hosts
         self._reported_at_s = 0.0
         self._age_source: Callable[[], float] = _unknown_age_s
-        self._most_age_s: float | None = None
-        self._table: Table | None = None
-        self._on_change: list[Callable[[Table], None]] = []
-        self.encoded = b""  # as read, to pass on to peers
+        self._max_age_s: float | None = None
+        self._table: RoutingTable | None = None
+        self._on_change: list[Callable[[RoutingTable], None]] = []
+        self.encoded = b""  # as received, for forwarding to peers
         self.caught_up = False
 
     async def start(self, kernel: Kernel) -> None:
-        """Have nothing to find."""
+        """Do nothing; routing depends on no other service."""
 
     async def stop(self) -> None:
-        """Have nothing to end."""
+        """Do nothing; routing holds no task or connection."""
 
     @property
     def offset(self) -> int:
-        """Return the version in force; 0 when there is none."""
+        """Return the version in force, or 0 without a configuration."""
         return self._table.version if self._table else 0
 
     @property
@@ -146,7 +146,7 @@
         return self._age_source()
 
     def set_age_source(
-        self, age_s: Callable[[], float], most_age_s: float | None = None
+        self, age_s: Callable[[], float], max_age_s: float | None = None
     ) -> None:
         """Read the age of the configuration from `age_s`.
 
@@ -154,14 +154,14 @@
         age is not considered.
         """
         self._age_source = age_s
-        self._most_age_s = most_age_s
+        self._max_age_s = max_age_s
 
     @property
     def may_be_outdated(self) -> bool:
-        """Tell whether a newer version is known or cannot be ruled out."""
+        """Return whether a newer version is known or cannot be ruled out."""
         if self.newest_version > self.offset:
             return True
-        return self._most_age_s is not None and self.age_s > self._most_age_s
+        return self._max_age_s is not None and self.age_s > self._max_age_s
 
     def note_version(self, version: int, source: str) -> None:
         """Record and log a version newer than any known; ignore others."""
@@ -175,7 +175,7 @@
 
     @property
     def is_configured(self) -> bool:
-        """Tell whether there is a configuration."""
+        """Return whether a configuration has been received."""
         return self._table is not None
 
     def regions_of(self, host: str) -> frozenset[str] | None:
@@ -185,15 +185,18 @@
         return self._table.regions_of(host)
 
     def cold_per_s(self, pool: str) -> float | None:
-        """Return what an upstream of a pool tolerates while it is cold.
+        """Return the request rate that a cold upstream of a pool tolerates.
 
-        None where the configuration tells nothing.
+        None where the configuration does not specify it.
         """
         service = self._table.services.get(pool) if self._table else None
         return service.cold_per_s if service else None
 
-    def table(self) -> Table:
-        """Return what is in force; raise `NotConfiguredError`."""
+    def table(self) -> RoutingTable:
+        """Return the table in force.
+
+        Raises `NotConfiguredError` before the first configuration.
+        """
         if self._table is None:
             raise NotConfiguredError
         return self._table
@@ -205,7 +208,7 @@
         source: str,
         decode_ms: float | None = None,
     ) -> bool:
-        """Take a configuration if it is newer; tell whether it was."""
+        """Apply a configuration if it is newer; return whether it was."""
         if configuration.version <= self.offset:
             return False
         before = self.offset
@@ -231,6 +234,6 @@
             callback(self._table)
         return True
 
-    def on_change(self, callback: Callable[[Table], None]) -> None:
-        """Call back with each configuration that comes into force."""
+    def on_change(self, callback: Callable[[RoutingTable], None]) -> None:
+        """Call `callback` with the table of each new configuration."""
         self._on_change.append(callback)
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -1,4 +1,4 @@
-"""The relay: every request of a caller, from its head to its last byte."""
+"""The relay service, which handles every request of a caller."""
 
 from __future__ import annotations
 
@@ -24,7 +24,6 @@
 from balsamlift.relay._exchange import Exchange
 from balsamlift.relay._frontend import Frontend
 from balsamlift.relay._generations import Generations
-from balsamlift.relay._plain import PlainCalls
 from balsamlift.relay._pool import ConnectionPool
 from balsamlift.relay._request import (
     Call,
@@ -35,33 +34,38 @@
 )
 from balsamlift.relay._retries import Retries, RetryLimits
 from balsamlift.relay._rooms import Rooms
-from balsamlift.relay._routing import Routing, Table
+from balsamlift.relay._routing import Routing, RoutingTable
 from balsamlift.relay._tools import Tools
+from balsamlift.relay._unary import UnaryCalls
 from balsamlift.relay._wire import HeaderNames
 
 log = logger.bind(part="relay")
 
-# Work that waits for room looks this often at what others have given back.
-LOOK_S = 0.1
-# The same where another host has to be asked.
-GATHERED_LOOK_S = 0.3
-# Idle connections are looked through this often.
-SWEEP_S = 1.0
+# How often waiting generations check for memory released by other hosts.
+ROOM_POLL_INTERVAL_S = 0.1
+# The same if the load counts have to be requested from another host.
+GATHERED_ROOM_POLL_INTERVAL_S = 0.3
+# Interval between removals of stale connections and records.
+SWEEP_INTERVAL_S = 1.0
 
 
 @attrs.frozen(kw_only=True)
 class RelaySettings:
-    """Hold what the relay is told at its start."""
+    """Settings of the relay, fixed at its start."""
 
     failure_domain: str
     retries: RetryLimits
-    cold_limits: ColdLimits | None = None  # None: no bound is in force
+    cold_limits: ColdLimits | None = None  # None: unlimited
     regions: Mapping[str, str] = attrs.field(factory=dict)  # by domain
     names: HeaderNames
 
 
 class Relay:
-    """Answer callers with what upstreams say, and never twice or falsely."""
+    """Forwards requests to upstreams with at-most-once execution.
+
+    Only requests of idempotent routes may run more than once. A refusal that
+    says that a request did not run is always true.
+    """
 
     name = "relay"
 
@@ -72,7 +76,7 @@
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        """Prepare; `start` finds the other services."""
+        """Create a relay; `start` looks up the other services."""
         self._settings = settings
         self._engines = engines
         self._clock = clock
@@ -80,7 +84,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self, kernel: Kernel) -> None:
-        """Find the other services and begin to serve callers."""
+        """Look up the other services and start serving callers."""
         self._metrics = kernel.find("metrics", Metrics)
         self._upstreams = kernel.find("upstreams", Upstreams)
         peers = self._peers = kernel.find("peers", Peers)
@@ -113,7 +117,7 @@
         self._crash_guard = CrashGuard(
             peers.crash_reports, self._upstreams, self._clock
         )
-        self._plain = PlainCalls(
+        self._unary_calls = UnaryCalls(
             exchange,
             balancer,
             self._admission,
@@ -138,19 +142,23 @@
             self._upstreams,
             self._engines,
             self._clock,
-            self._generations.in_use,
+            self._generations.engines_in_use,
         )
         self._doubts.start()
         self._frontend = frontend
-        routing.on_change(self._take_limits)
+        routing.on_change(self._apply_limits)
         frontend.serve(self.handle)
         self._tasks = [
-            asyncio.create_task(self._keep_looking()),
-            asyncio.create_task(self._keep_sweeping()),
+            asyncio.create_task(self._poll_for_room()),
+            asyncio.create_task(self._sweep_periodically()),
         ]
 
     def leave(self, within_s: float) -> None:
-        """Take only what ends in time, and let callers go elsewhere."""
+        """Prepare to shut down within `within_s`.
+
+        Responses tell callers to close their connections, and generations
+        start only if they are expected to end in time.
+        """
         self._frontend.is_closing = True
         self._generations.leave(self._clock.monotonic() + within_s)
 
@@ -165,7 +173,7 @@
     async def handle(
         self, request: CallerRequest, responder: Responder
     ) -> None:
-        """Answer one request, and log how it ended."""
+        """Handle one request, and log how it ended."""
         admitted = self._admission.admit(request)
         if isinstance(admitted, Refusal):
             responder.refuse(admitted)
@@ -181,7 +189,7 @@
         self._retries.requested(call.service)
         if call.route.kind == "stream":
             return await self._generations.run(call, responder)
-        return await self._plain.run(call, responder)
+        return await self._unary_calls.run(call, responder)
 
     def _log_refused(self, request: CallerRequest, refusal: Refusal) -> None:
         self._metrics.count(f"relay.refused.{refusal.status}")
@@ -210,20 +218,24 @@
             took_ms=round(took_ms, 1),
         ).info("{}", outcome.text)
 
-    def _take_limits(self, table: Table) -> None:
+    def _apply_limits(self, table: RoutingTable) -> None:
         self._frontend.limits = table.configuration.limits
 
-    async def _keep_looking(self) -> None:
+    async def _poll_for_room(self) -> None:
         while True:
             hears_all = self._peers.hears_all
-            await self._clock.sleep(LOOK_S if hears_all else GATHERED_LOOK_S)
+            await self._clock.sleep(
+                ROOM_POLL_INTERVAL_S
+                if hears_all
+                else GATHERED_ROOM_POLL_INTERVAL_S
+            )
             if self._rooms.waiting:
                 await self._balancer.refresh()
                 self._rooms.look()
 
-    async def _keep_sweeping(self) -> None:
+    async def _sweep_periodically(self) -> None:
         while True:
-            await self._clock.sleep(SWEEP_S)
+            await self._clock.sleep(SWEEP_INTERVAL_S)
             self._pool.sweep({u.name for u in self._upstreams.all()})
             self._balancer.forget_old()
             self._crash_guard.forget_old()
--- a/src/balsamlift/relay/_tools.py
+++ b/src/balsamlift/relay/_tools.py
@@ -1,4 +1,4 @@
-"""What every generation works with."""
+"""Components of the relay that all generations use."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen(kw_only=True)
 class Tools:
-    """Hold the parts of the relay that generations share."""
+    """The components of the relay that generations share."""
 
     exchange: Exchange
     balancer: Balancer
--- a/src/balsamlift/relay/_plain.py
+++ b/src/balsamlift/relay/_unary.py
@@ -1,4 +1,4 @@
-"""Calls to services that answer at once: lookups and the like."""
+"""Unary calls: one request and one buffered response, such as a lookup."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 from balsamlift.peers import Upstream
 from balsamlift.relay._admission import Admission
-from balsamlift.relay._attempt import MOST_UNREACHABLE, Attempt
+from balsamlift.relay._attempt import MAX_UNREACHABLE_UPSTREAMS, Attempt
 from balsamlift.relay._balance import Balancer
 from balsamlift.relay._crash_guard import CRASHING_REQUEST, CrashGuard
 from balsamlift.relay._exchange import Exchange, Reply
@@ -28,22 +28,22 @@
 
 log = logger.bind(part="calls")
 
-MOST_ANSWER_BYTES = 4_194_304  # held until whole; a lookup has 1 KB
-# A try that may be repeated gets this part of the time left, so that an
-# upstream that hangs leaves time for another.
-TRY_PART = 0.4
+MAX_RESPONSE_BYTES = 4_194_304  # buffered in full; a lookup has 1 KB
+# Fraction of the remaining time given to an attempt that may be retried, so
+# that an upstream that hangs leaves time for another.
+ATTEMPT_TIME_FRACTION = 0.4
 
 
 @attrs.frozen
-class _Answer:
-    """Hold a whole answer of an upstream."""
+class _BufferedReply:
+    """A complete response of an upstream, with its body in memory."""
 
     reply: Reply
     body: bytes
 
 
-class PlainCalls:
-    """Run calls that fit in memory, with retries where they may be."""
+class UnaryCalls:
+    """Runs unary calls, and retries those that may be sent again."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         retries: Retries,
         crash_guard: CrashGuard,
     ) -> None:
-        """Send through `exchange` to upstreams that `balancer` picks."""
+        """Create a runner for upstreams that `balancer` selects."""
         self._exchange = exchange
         self._balancer = balancer
         self._admission = admission
@@ -61,11 +61,11 @@
         self._crash_guard = crash_guard
 
     async def run(self, call: Call, responder: Responder) -> Outcome:
-        """Answer the caller; return the outcome for the log."""
+        """Respond to the caller and return the outcome for the log."""
         attempt = Attempt(call.is_idempotent)
         try:
             async with asyncio.timeout_at(call.give_up_s):
-                result = await self._answer(call, attempt)
+                result = await self._fetch_reply(call, attempt)
         except TimeoutError:
             result = timed_out(attempt)
         if isinstance(result, Refusal):
@@ -81,9 +81,11 @@
         text = f"answered {head.status}"
         return Outcome(text, result.reply.upstream.name, attempt.sends)
 
-    async def _answer(self, call: Call, attempt: Attempt) -> _Answer | Refusal:
+    async def _fetch_reply(
+        self, call: Call, attempt: Attempt
+    ) -> _BufferedReply | Refusal:
         tried: set[str] = set()
-        dialled = 0
+        unreachable = 0
         while True:
             if self._crash_guard.is_culprit(call):
                 return CRASHING_REQUEST
@@ -95,84 +97,89 @@
                 return give_up(attempt, "configuration changed", 0)
             tried.add(upstream.name)
             try:
-                answer = await self._try(call, attempt, upstream)
+                buffered = await self._send_once(call, attempt, upstream)
             except UpstreamUnreachableError:
-                dialled += 1
-                if dialled >= MOST_UNREACHABLE:
+                unreachable += 1
+                if unreachable >= MAX_UNREACHABLE_UPSTREAMS:
                     return give_up(attempt, "upstreams unreachable")
                 continue
             except UpstreamBrokenError as error:
                 refusal = give_up(attempt, error.message)
             else:
-                if answer.reply.meaning == "answer":
-                    return answer
-                if self._may_repeat(call, attempt):
+                if buffered.reply.disposition == "answer":
+                    return buffered
+                if self._may_retry(call, attempt):
                     continue
-                if answer.reply.meaning == "not_executed":
+                if buffered.reply.disposition == "not_executed":
                     return give_up(attempt, "upstreams full")
-                return answer  # the upstream's own failure, as it gave it
-            if not self._may_repeat(call, attempt):
+                return buffered  # the upstream's own error response
+            if not self._may_retry(call, attempt):
                 return refusal
 
-    async def _try(
+    async def _send_once(
         self, call: Call, attempt: Attempt, upstream: Upstream
-    ) -> _Answer:
+    ) -> _BufferedReply:
         loop = asyncio.get_running_loop()
-        bound_s = None
-        if attempt.is_idempotent and attempt.sends + 1 < self._most(call):
-            left_s = call.give_up_s - loop.time()
-            bound_s = loop.time() + left_s * TRY_PART
+        attempt_deadline_s = None
+        if attempt.is_idempotent and attempt.sends + 1 < self._max_sends(call):
+            remaining_s = call.give_up_s - loop.time()
+            attempt_deadline_s = (
+                loop.time() + remaining_s * ATTEMPT_TIME_FRACTION
+            )
         try:
             with self._balancer.hold(upstream.name, 1):
-                async with asyncio.timeout_at(bound_s):
+                async with asyncio.timeout_at(attempt_deadline_s):
                     reply = await self._exchange.send(call, attempt, upstream)
-                    body = await self._exchange.read_whole(
-                        reply, MOST_ANSWER_BYTES
+                    body = await self._exchange.read_full_body(
+                        reply, MAX_RESPONSE_BYTES
                     )
         except (UpstreamUnreachableError, UpstreamBrokenError) as error:
-            self._leave_alone(call, attempt, upstream, str(error))
+            self._back_off(call, attempt, upstream, str(error))
             if isinstance(error, UpstreamBrokenError):
                 self._crash_guard.check_broken_call(
                     call, upstream, had_output=False
                 )
             raise
         except TimeoutError as error:
-            if bound_s is None or loop.time() >= call.give_up_s:
+            if attempt_deadline_s is None or loop.time() >= call.give_up_s:
                 raise
-            self._leave_alone(call, attempt, upstream, "no answer yet")
+            self._back_off(call, attempt, upstream, "no answer yet")
             raise UpstreamBrokenError(
                 upstream.name, "no answer yet"
             ) from error
-        if reply.meaning != "not_executed":
+        if reply.disposition != "not_executed":
             self._crash_guard.record_completed(call)
-        if reply.meaning == "answer":
+        if reply.disposition == "answer":
             self._balancer.saw_success(upstream.name)
-        elif reply.meaning == "not_executed":
+        elif reply.disposition == "not_executed":
             self._balancer.health.failed(upstream.name)  # full, not broken
         else:
             self._balancer.saw_failure(upstream.name)
-        return _Answer(reply, body)
+        return _BufferedReply(reply, body)
 
-    def _leave_alone(
-        self, call: Call, attempt: Attempt, upstream: Upstream, why: str
+    def _back_off(
+        self, call: Call, attempt: Attempt, upstream: Upstream, cause: str
     ) -> None:
-        """Send nothing there for a while, and log for how long."""
-        out_s = self._balancer.saw_break(upstream.name)
+        """Take the upstream out of selection for a while and log it."""
+        backoff_s = self._balancer.saw_break(upstream.name)
         log.bind(
             request=call.request_id,
             upstream=upstream.name,
-            out_ms=round(out_s * 1_000),
+            out_ms=round(backoff_s * 1_000),
             may_have_run=attempt.may_have_run,
-        ).warning("left alone: {}", why)
+        ).warning("left alone: {}", cause)
 
-    def _most(self, call: Call) -> int:
+    def _max_sends(self, call: Call) -> int:
         return max(call.route.most_attempts, 1)
 
-    def _may_repeat(self, call: Call, attempt: Attempt) -> bool:
-        """Tell whether another upstream may be tried, and pay for it."""
+    def _may_retry(self, call: Call, attempt: Attempt) -> bool:
+        """Return whether to try another upstream.
+
+        A permitted retry is charged to the retry budget of the service.
+        """
         if not attempt.may_send:
             return False
-        if attempt.may_have_run and attempt.sends >= self._most(call):
+        if attempt.may_have_run and attempt.sends >= self._max_sends(call):
             return False
         is_allowed = self._retries.spend(call.service)
         log.bind(
--- a/src/balsamlift/relay/_wire.py
+++ b/src/balsamlift/relay/_wire.py
@@ -1,4 +1,4 @@
-"""How a deployment spells what the relay reads and writes on the wire."""
+"""Names of the HTTP headers that the relay reads and writes."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 @attrs.frozen(kw_only=True)
 class HeaderNames:
-    """Hold the names of the headers that mean something to the relay."""
+    """Header names of a deployment, and its authorization scheme."""
 
     request_id: str
     deadline_ms: str
-    signature: str  # an upstream's proof that the answer is its own
+    signature: str  # proves that a response is the upstream's own
     workspace: str
     expected_incarnation: str
-    not_executed: str  # an upstream's word that the request did not run
+    not_executed: str  # set if the upstream did not run the request
     priority: str
-    token_usage: str  # prompt tokens and the most output tokens
-    length_hint: str  # output tokens that the caller expects
-    backup_address: str  # where an engine sends a running request's memory
-    resume_source: str  # "IP:port/handle" of memory to go on from
+    token_usage: str  # prompt tokens and maximum output tokens
+    length_hint: str  # output tokens expected by the caller
+    backup_address: str  # receives the memory of a running request
+    resume_source: str  # "IP:port/handle" of the memory to resume from
     last_event_id: str
     auth_scheme: str
-    # Headers that the relay alone sets: a caller's copy is dropped.
+    # Only the relay sets these headers; values from callers are dropped.
     reserved: frozenset[str]
--- a/tests/_relay_bench.py
+++ b/tests/_relay_bench.py
@@ -1,4 +1,4 @@
-"""What tests of the relay share: bounded runs, and ways upstreams behave."""
+"""Helpers for relay tests: time-limited runs and upstream behaviours."""
 
 import asyncio
 from collections.abc import Awaitable
--- a/tests/test_relay_attempt.py
+++ b/tests/test_relay_attempt.py
@@ -1,76 +1,80 @@
-"""The state of an attempt: against any upstream, never twice, never false."""
+"""At-most-once tracking of an attempt against arbitrary upstreams.
+
+No sequence of sends, losses and refusals may run a request twice, or report
+a request that has run as not run.
+"""
 
 import pytest
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from balsamlift.relay._attempt import Attempt, AttemptError
+from balsamlift.relay._attempt import Attempt, UnsafeResendError
 from balsamlift.relay._refusals import give_up, timed_out
 
-HAS_NOT_RUN = 503
+NOT_RUN_STATUS = 503
 
 
 class AttemptMachine(RuleBasedStateMachine):
-    """An upstream that loses, repeats and refuses, behind one attempt.
+    """Drives one attempt against upstreams that lose or refuse requests.
 
-    `runs` is what the upstreams really did; the attempt knows only what
-    they told.
+    `runs` counts actual executions; the attempt knows only what the
+    upstreams reported.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.attempt = Attempt(is_idempotent=False)
         self.runs = 0
-        self.ran_before = False
-        self.is_open = False  # a send has no answer yet
+        self.may_have_run_before = False
+        self.is_pending = False  # the last send has no response yet
 
     @rule(runs=st.booleans())
     def send(self, runs: bool) -> None:
         if not self.attempt.may_send:
-            with pytest.raises(AttemptError):
-                self.attempt.sending()
+            with pytest.raises(UnsafeResendError):
+                self.attempt.record_send()
             return
-        self.ran_before = self.attempt.may_have_run
-        self.attempt.sending()
-        self.is_open = True
+        self.may_have_run_before = self.attempt.may_have_run
+        self.attempt.record_send()
+        self.is_pending = True
         self.runs += runs
 
     @rule()
-    def told_not_executed(self) -> None:
-        if self.is_open and self.runs == 0:
-            self.attempt.not_executed(self.ran_before)
-            self.is_open = False
+    def report_not_executed(self) -> None:
+        if self.is_pending and self.runs == 0:
+            self.attempt.record_not_executed(self.may_have_run_before)
+            self.is_pending = False
 
     @rule()
-    def answer_lost(self) -> None:
-        self.is_open = False
+    def lose_response(self) -> None:
+        self.is_pending = False
 
     @invariant()
-    def never_twice(self) -> None:
+    def runs_at_most_once(self) -> None:
         assert self.runs <= 1
 
     @invariant()
-    def no_false_refusal(self) -> None:
+    def refuses_only_what_has_not_run(self) -> None:
         if self.runs:
-            assert give_up(self.attempt, "any").status != HAS_NOT_RUN
-            assert timed_out(self.attempt).status != HAS_NOT_RUN
+            assert give_up(self.attempt, "any").status != NOT_RUN_STATUS
+            assert timed_out(self.attempt).status != NOT_RUN_STATUS
 
 
 TestAttemptMachine = AttemptMachine.TestCase
 
 
-def test_an_idempotent_attempt_may_go_on() -> None:
+def test_an_idempotent_attempt_may_be_sent_again() -> None:
     attempt = Attempt(is_idempotent=True)
-    attempt.sending()
-    attempt.sending()
+    attempt.record_send()
+    attempt.record_send()
     assert attempt.sends == 2
     assert not attempt.certainly_not_run
 
 
-def test_an_earlier_send_is_not_taken_back() -> None:
+def test_a_refused_send_does_not_undo_an_earlier_one() -> None:
     attempt = Attempt(is_idempotent=True)
-    attempt.sending()
-    ran_before = attempt.may_have_run
-    attempt.sending()
-    attempt.not_executed(ran_before)
+    attempt.record_send()
+    may_have_run_before = attempt.may_have_run
+    attempt.record_send()
+    attempt.record_not_executed(may_have_run_before)
     assert attempt.may_have_run
--- a/tests/test_relay_frontend.py
+++ b/tests/test_relay_frontend.py
@@ -1,4 +1,4 @@
-"""Callers who send too much or too slowly: told so, and nothing passed on."""
+"""Limits on callers: oversized or slow requests are refused, not forwarded."""
 
 import asyncio
 
@@ -17,17 +17,17 @@
     request_bytes,
 )
 
-QUICK = attrs.evolve(LIMITS, head_timeout_ms=300, idle_timeout_ms=400)
+SHORT_TIMEOUTS = attrs.evolve(LIMITS, head_timeout_ms=300, idle_timeout_ms=400)
 
 
 def replica() -> ReplicaStandIn:
     return ReplicaStandIn("plain-1", "plain", NAMES)
 
 
-# Both are over the limit of 16 KB; the second is too large to be read whole,
-# by so little that no byte is left unread, which could reset the connection.
+# Both are over the limit of 16 KB. The second is too large to be read in full,
+# but by so little that no byte stays unread, which could reset the connection.
 @pytest.mark.parametrize("size", [20_000, 262_100])
-def test_a_head_over_the_limit_is_told_so_and_not_passed_on(size) -> None:
+def test_a_head_over_the_limit_gets_431_and_is_not_forwarded(size) -> None:
     async def test() -> None:
         stand_in = replica()
         async with RelayWorld([stand_in]) as world:
@@ -35,7 +35,7 @@
             reader, writer = await world.connect()
             writer.write(request_bytes("/order/1", "big")[:-2])
             writer.write(b"Filler: " + b"x" * size)
-            if size < 100_000:  # of more, the end is not waited for
+            if size < 100_000:  # the end of a larger head is not read
                 writer.write(b"\r\n\r\n")
             answer = await read_answer(reader)
             writer.close()
@@ -47,7 +47,7 @@
     run(test())
 
 
-def test_a_head_within_the_limit_is_passed_on() -> None:
+def test_a_head_within_the_limit_is_forwarded() -> None:
     async def test() -> None:
         async with RelayWorld([replica()]) as world:
             world.configure()
@@ -59,11 +59,11 @@
 
 
 @pytest.mark.parametrize("start", [b"P", request_bytes("/order/1")[:-2]])
-def test_a_head_that_comes_too_slowly_ends_with_408(start) -> None:
+def test_a_slow_head_gets_408(start) -> None:
     async def test() -> None:
         stand_in = replica()
         async with RelayWorld([stand_in]) as world:
-            world.configure(limits=QUICK)
+            world.configure(limits=SHORT_TIMEOUTS)
             reader, writer = await world.connect()
             writer.write(start)
             answer = await read_answer(reader)
@@ -79,18 +79,18 @@
 def test_an_idle_connection_is_closed_after_its_limit() -> None:
     async def test() -> None:
         async with RelayWorld([replica()]) as world:
-            world.configure(limits=QUICK)
+            world.configure(limits=SHORT_TIMEOUTS)
             reader, writer = await world.connect()
             writer.write(request_bytes("/order/1"))
             answer = await read_answer(reader)
-            assert await reader.read() == b""  # closed without a word
+            assert await reader.read() == b""  # closed without a response
             writer.close()
         assert answer.status == 200
 
     run(test())
 
 
-def test_a_connection_rests_four_fifths_of_its_limit_unharmed() -> None:
+def test_a_connection_may_idle_for_four_fifths_of_its_limit() -> None:
     async def test() -> None:
         async with RelayWorld([replica()]) as world:
             limits = attrs.evolve(LIMITS, idle_timeout_ms=2_000)
@@ -105,7 +105,7 @@
     run(test())
 
 
-def test_no_limit_on_heads_ends_a_request_that_runs() -> None:
+def test_head_limits_do_not_end_a_running_request() -> None:
     async def slow(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
@@ -116,7 +116,7 @@
         stand_in = replica()
         stand_in.behave = slow
         async with RelayWorld([stand_in]) as world:
-            world.configure(limits=QUICK)
+            world.configure(limits=SHORT_TIMEOUTS)
             answer = await world.call("/order/1")
         assert answer.status == 200
         assert answer.body == b"late"
--- a/tests/test_relay_fuzz.py
+++ b/tests/test_relay_fuzz.py
@@ -1,4 +1,4 @@
-"""Bad input of callers: refused, never passed on as something else."""
+"""Malformed requests are refused and never forwarded as another request."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
     f"{NAMES.request_id}: hidden\r\nAuthorization: Token {KEY}\r\n"
     "Content-Length: 0\r\n\r\n"
 )
-# Each tells two readers two different ends of one request.
+# Each is ambiguous about where the request ends (request smuggling).
 SMUGGLED = {
     "two lengths": "Content-Length: 0\r\nContent-Length: 4\r\n\r\n",
     "length and chunks": (
@@ -46,7 +46,7 @@
 
 
 async def send(world: RelayWorld, data: bytes) -> bytes:
-    """Send bytes and return all that comes until the end of it."""
+    """Send bytes and return everything received until the end."""
     reader, writer = await world.connect()
     writer.write(data)
     writer.write_eof()
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("name", SMUGGLED)
-def test_what_is_ambiguous_is_refused(name: str) -> None:
+def test_ambiguous_framing_is_refused(name: str) -> None:
     async def test() -> None:
         stand_in = ReplicaStandIn("plain-0", "plain", NAMES)
         async with RelayWorld([stand_in]) as world:
@@ -85,7 +85,7 @@
         "",
     ],
 )
-def test_an_odd_request_line_reaches_no_upstream(line: str) -> None:
+def test_an_invalid_request_line_reaches_no_upstream(line: str) -> None:
     async def test() -> None:
         stand_in = ReplicaStandIn("plain-0", "plain", NAMES)
         async with RelayWorld([stand_in]) as world:
@@ -98,7 +98,7 @@
     asyncio.run(test())
 
 
-def test_an_upgrade_is_not_passed_on() -> None:
+def test_an_upgrade_is_not_forwarded() -> None:
     async def test() -> None:
         stand_in = ReplicaStandIn("plain-0", "plain", NAMES)
         async with RelayWorld([stand_in]) as world:
@@ -125,10 +125,10 @@
 
 @settings(max_examples=40)
 @given(st.lists(st.tuples(MUTATION, st.integers(0, 4)), max_size=3))
-def test_no_bytes_run_a_request_that_was_not_sent(
+def test_corrupted_bytes_run_no_other_request(
     mutations: list[tuple[tuple[int, bytes], int]],
 ) -> None:
-    """A damaged request runs as itself, or not at all."""
+    """A corrupted request must not run the request hidden in its body."""
     data = request_bytes("/order/1", "sent", body=HIDDEN.encode())
     for (at, new), removed in mutations:
         data = data[:at] + new + data[at + removed :]
@@ -140,7 +140,7 @@
             await send(world, data)
             good = await world.call("/order/2", "after")
         assert good.status == 200
-        # A length that was damaged makes the rest a request of its own.
+        # With a corrupted length, the rest is a request of its own.
         lengths_differ = f"Content-Length: {len(HIDDEN)}".encode() not in data
         if not lengths_differ:
             assert "hidden" not in stand_in.ids()
--- a/tests/test_relay_generation.py
+++ b/tests/test_relay_generation.py
@@ -1,4 +1,4 @@
-"""The end of one generation, whatever interrupts it."""
+"""Closing the engine's connection at the end of a generation."""
 
 import asyncio
 from types import SimpleNamespace
@@ -7,31 +7,34 @@
 from balsamlift.relay._generation import Generation
 
 
-def test_the_engine_is_left_without_a_wait() -> None:
-    """A wait could be cancelled as the caller leaves, before the close."""
+def test_the_connection_is_closed_without_waiting() -> None:
+    """A wait before the close could be cancelled by the caller's disconnect.
+
+    The connection would then stay open and the engine would keep running.
+    """
 
     async def main() -> None:
         connection = Mock()
         generation = Generation.__new__(Generation)
         generation._reply = SimpleNamespace(connection=connection)  # type: ignore[assignment]
-        pump = asyncio.create_task(asyncio.sleep(60))
-        generation._pump = pump
-        generation._end_pump()
+        read_task = asyncio.create_task(asyncio.sleep(60))
+        generation._read_task = read_task
+        generation._stop_reading()
         connection.close.assert_called_once_with()
-        await asyncio.wait([pump])
-        assert pump.cancelled()
+        await asyncio.wait([read_task])
+        assert read_task.cancelled()
 
     asyncio.run(main())
 
 
-def test_a_connection_that_was_read_to_its_end_is_kept() -> None:
+def test_a_connection_read_to_its_end_stays_open() -> None:
     async def main() -> None:
         connection = Mock()
         generation = Generation.__new__(Generation)
         generation._reply = SimpleNamespace(connection=connection)  # type: ignore[assignment]
-        generation._pump = asyncio.create_task(asyncio.sleep(0))
-        await generation._pump
-        generation._end_pump()
+        generation._read_task = asyncio.create_task(asyncio.sleep(0))
+        await generation._read_task
+        generation._stop_reading()
         connection.close.assert_not_called()
 
     asyncio.run(main())
--- a/tests/test_relay_generations.py
+++ b/tests/test_relay_generations.py
@@ -1,4 +1,4 @@
-"""Generations: one stream to the caller, over as many engines as it takes."""
+"""Generations: a single stream to the caller, across several engines."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
     until_arrived,
 )
 
-from balsamlift.relay._attempt import MOST_UNREACHABLE
+from balsamlift.relay._attempt import MAX_UNREACHABLE_UPSTREAMS
 from balsamlift.testing.relay import (
     NAMES,
     CallerAnswer,
@@ -26,10 +26,10 @@
     request_bytes,
 )
 
-CALLERS_WHO_LEAVE = 400  # one in a hundred is enough to see the fault
+DISCONNECTING_CALLERS = 400  # the fault occurred for one caller in a hundred
 
 
-def whole(last: int = LAST) -> bytes:
+def event_stream(last: int = LAST) -> bytes:
     return b"".join(event(number) for number in range(last + 1))
 
 
@@ -50,12 +50,12 @@
 async def begin_call(
     world: RelayWorld, stand_ins: list[ReplicaStandIn]
 ) -> tuple[asyncio.Task[CallerAnswer], ReplicaStandIn]:
-    """Begin a generation; return the call and the engine that has it."""
+    """Start a generation; return the call and the engine that runs it."""
     calling = asyncio.create_task(world.call("/draft/1", headers=USAGE))
     return calling, await until_arrived(stand_ins)
 
 
-def test_relays_a_stream_whole() -> None:
+def test_relays_a_complete_stream() -> None:
     async def test() -> None:
         stand_ins = engines()
         for stand_in in stand_ins:
@@ -65,12 +65,12 @@
             answer = await world.call("/draft/1", headers=USAGE)
         assert answer.status == 200
         assert answer.is_whole
-        assert answer.body == whole()
+        assert answer.body == event_stream()
 
     run(test())
 
 
-def test_goes_on_at_the_backup_when_its_engine_is_lost() -> None:
+def test_resumes_at_the_backup_when_its_engine_is_lost() -> None:
     async def test() -> None:
         stand_ins = engines()
         for stand_in in stand_ins:
@@ -88,12 +88,12 @@
         assert resumed.headers[NAMES.resume_source] == f"{other.address}/r1"
         assert resumed.headers[NAMES.last_event_id] == "4"
         assert answer.is_whole
-        assert answer.body == whole()
+        assert answer.body == event_stream()
 
     run(test())
 
 
-def test_leaves_an_engine_that_is_leaving_for_the_backup() -> None:
+def test_moves_from_a_leaving_engine_to_the_backup() -> None:
     async def test() -> None:
         stand_ins = engines()
         for stand_in in stand_ins:
@@ -107,9 +107,10 @@
             used.state = "leaving"
             answer = await calling
             assert answer.is_whole
-            assert answer.body == whole()
+            assert answer.body == event_stream()
+            # The relay closes its connection to the previous engine.
             while used.open:
-                await asyncio.sleep(0.01)  # the engine before is let go of
+                await asyncio.sleep(0.01)
 
     run(test())
 
@@ -146,12 +147,12 @@
             answer = await calling
         assert [copy[3] for copy in world.engines.copies] == [False, True]
         assert answer.is_whole
-        assert answer.body == whole()
+        assert answer.body == event_stream()
 
     run(test())
 
 
-def test_a_stream_that_cannot_go_on_does_not_look_whole() -> None:
+def test_a_stream_that_cannot_resume_is_truncated() -> None:
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = break_midway
@@ -159,13 +160,13 @@
             world.configure()
             answer = await world.call("/draft/1", headers=USAGE)
         assert not answer.is_whole
-        assert answer.body == whole(4)
+        assert answer.body == event_stream(4)
         assert stand_ins[0].ids() == ["r1"]
 
     run(test())
 
 
-def test_an_event_that_comes_again_is_not_passed_on() -> None:
+def test_a_repeated_event_is_not_forwarded() -> None:
     async def repeat(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
@@ -181,29 +182,29 @@
             world.configure()
             answer = await world.call("/draft/1", headers=USAGE)
         assert not answer.is_whole
-        assert answer.body == whole(2)
+        assert answer.body == event_stream(2)
 
     run(test())
 
 
-def test_an_engine_that_refuses_is_left_for_another() -> None:
+def test_a_refused_generation_is_sent_to_another_engine() -> None:
     async def test() -> None:
         stand_ins = engines()
         stand_ins[0].behave = refuse
         stand_ins[1].behave = stream
         async with RelayWorld(stand_ins) as world:
             world.configure()
-            # A retry is earned by requests: these make the budget.
+            # Requests fill the retry budget.
             for n in range(10):
                 await world.call("/draft/1", f"a{n}", headers=USAGE)
             answer = await world.call("/draft/1", headers=USAGE)
-        assert answer.body == whole()
+        assert answer.body == event_stream()
 
     run(test())
 
 
 @pytest.mark.parametrize("behaviour", ["reset", "silent"])
-def test_an_engine_lost_before_its_first_event_is_not_asked_twice(
+def test_a_generation_lost_before_its_first_event_is_not_resent(
     behaviour: str,
 ) -> None:
     async def lose(
@@ -229,7 +230,7 @@
     run(test())
 
 
-def test_a_caller_who_leaves_ends_the_generation() -> None:
+def test_a_disconnecting_caller_ends_the_generation() -> None:
     async def test() -> None:
         stand_ins = engines()
         for stand_in in stand_ins:
@@ -248,8 +249,12 @@
     run(test())
 
 
-def test_callers_who_leave_as_it_begins_end_the_generation() -> None:
-    """Before, one in a hundred left its engine at work until the deadline."""
+def test_callers_disconnecting_at_the_start_end_the_generation() -> None:
+    """A disconnect during the start must still stop the engine.
+
+    One in a hundred such disconnects left the engine running until the
+    deadline.
+    """
 
     async def test() -> None:
         stand_ins = engines()
@@ -257,12 +262,13 @@
             stand_in.behave = hang_midway
         async with RelayWorld(stand_ins) as world:
             world.configure()
-            for n in range(CALLERS_WHO_LEAVE):
+            for n in range(DISCONNECTING_CALLERS):
                 _, writer = await world.connect()
                 writer.write(request_bytes("/draft/1", f"r{n}", headers=USAGE))
                 while sum(len(s.arrivals) for s in stand_ins) <= n:
                     await asyncio.sleep(0)
-                # Somewhere between the request's arrival and its first events.
+                # Disconnect between the request's arrival and its first
+                # events.
                 for _ in range(n % 20):
                     await asyncio.sleep(0)
                 writer.close()
@@ -273,7 +279,7 @@
     run(test())
 
 
-def test_waits_for_room_in_order_of_urgency() -> None:
+def test_a_generation_waits_until_the_engine_has_room() -> None:
     started: list[str] = []
     go_on = asyncio.Event()
 
@@ -308,7 +314,7 @@
     run(test())
 
 
-def test_a_host_that_leaves_begins_only_what_it_can_finish() -> None:
+def test_a_leaving_host_starts_only_what_it_can_finish() -> None:
     long = [f"{NAMES.token_usage}: 1000,2000", f"{NAMES.length_hint}: 900"]
 
     async def test() -> None:
@@ -322,13 +328,13 @@
         assert refused.status == 503
         assert refused.headers["Retry-After"] == "0.000"
         assert refused.headers["Connection"] == "close"
-        assert served.body == whole()
+        assert served.body == event_stream()
         assert stand_ins[0].ids() == ["r2"]
 
     run(test())
 
 
-def test_asks_the_engine_itself_while_the_list_is_out_of_reach() -> None:
+def test_asks_the_engine_itself_while_the_list_is_unreachable() -> None:
     async def test() -> None:
         stand_ins = engines()
         for stand_in in stand_ins:
@@ -343,14 +349,14 @@
             world.engines.leaving.add(used.name)
             answer = await calling
             assert answer.is_whole
-            assert answer.body == whole()
+            assert answer.body == event_stream()
             assert world.upstreams.find(used.name).state == "leaving"
         assert set(world.engines.asked) == {used.name}
 
     run(test())
 
 
-def test_a_notice_before_the_first_event_counts_too() -> None:
+def test_an_engine_leaving_before_the_first_event_is_left() -> None:
     begin = asyncio.Event()
 
     async def late(
@@ -375,12 +381,12 @@
             begin.set()
             answer = await calling
         assert answer.is_whole
-        assert answer.body == whole()
+        assert answer.body == event_stream()
 
     run(test())
 
 
-def test_an_engine_lost_while_no_other_has_room_ends_the_stream() -> None:
+def test_an_engine_lost_without_another_ends_the_stream() -> None:
     lose = asyncio.Event()
 
     async def hang_then_reset(
@@ -409,14 +415,16 @@
             async with asyncio.timeout(2.5):  # of 3 s until its deadline
                 answer = await calling
         assert not answer.is_whole
-        assert answer.body == whole(4)
+        assert answer.body == event_stream(4)
 
     run(test())
 
 
-@pytest.mark.parametrize("kept", [False, True])
-def test_a_caller_who_leaves_while_waiting_is_not_sent_on(kept: bool) -> None:
-    """`kept`: the connection has carried an answer before."""
+@pytest.mark.parametrize("reused", [False, True])
+def test_a_caller_who_disconnects_while_waiting_is_not_sent(
+    reused: bool,
+) -> None:
+    """`reused`: the connection has carried a response before."""
     go_on = asyncio.Event()
 
     async def slow(
@@ -433,7 +441,7 @@
         async with RelayWorld(stand_ins) as world:
             world.configure()
             reader, writer = await world.connect()
-            if kept:
+            if reused:
                 writer.write(request_bytes("/draft/0", "r0", headers=USAGE))
                 assert (await read_answer(reader)).is_whole
             first = asyncio.create_task(
@@ -456,9 +464,7 @@
     run(test())
 
 
-def test_what_finds_no_room_in_time_is_refused_with_when_to_come_back() -> (
-    None
-):
+def test_a_generation_without_room_in_time_gets_a_retry_after() -> None:
     go_on = asyncio.Event()
 
     async def slow(
@@ -489,8 +495,11 @@
     run(test())
 
 
-def test_engines_that_cannot_be_reached_cost_no_retry() -> None:
-    """Nothing reached them: a call has enough retries for one of three."""
+def test_unreachable_engines_cost_no_retry() -> None:
+    """Nothing reached the engines, so no retry is charged.
+
+    The retry budget covers only one of the three attempts.
+    """
 
     async def test() -> None:
         stand_ins = engines(4)
@@ -498,25 +507,25 @@
             stand_in.behave = stream
         async with RelayWorld(stand_ins) as world:
             world.configure()
-            # The one that lives is the last choice.
+            # Load makes the live engine the last choice.
             world.relay._balancer.add(stand_ins[3].name, 5_000)
             for stand_in in stand_ins[:3]:
                 await stand_in.stop()
             answer = await world.call("/draft/1", headers=USAGE)
         assert answer.status == 200
-        assert answer.body == whole()
+        assert answer.body == event_stream()
 
     run(test())
 
 
-def test_dialling_in_vain_has_a_bound() -> None:
+def test_failed_connection_attempts_are_limited() -> None:
     async def test() -> None:
-        stand_ins = engines(MOST_UNREACHABLE + 1)
+        stand_ins = engines(MAX_UNREACHABLE_UPSTREAMS + 1)
         async with RelayWorld(stand_ins) as world:
             world.configure()
-            last = stand_ins[MOST_UNREACHABLE]
+            last = stand_ins[MAX_UNREACHABLE_UPSTREAMS]
             world.relay._balancer.add(last.name, 5_000)
-            for stand_in in stand_ins[:MOST_UNREACHABLE]:
+            for stand_in in stand_ins[:MAX_UNREACHABLE_UPSTREAMS]:
                 await stand_in.stop()
             answer = await world.call("/draft/1", headers=USAGE)
         assert answer.status == 503
--- a/tests/test_relay_incarnations.py
+++ b/tests/test_relay_incarnations.py
@@ -1,4 +1,8 @@
-"""An upstream that starts again under its id holds nothing of before."""
+"""Upstreams that restart under the same id.
+
+A restarted upstream is a new incarnation: connections, failures and
+generations of the previous one no longer apply to it.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -24,13 +28,13 @@
 WHOLE = b"".join(event(number) for number in range(LAST + 1))
 
 
-async def until_known(world: RelayWorld, started_ms: int) -> None:
-    """Wait until all upstreams are known by that start."""
+async def wait_until_known(world: RelayWorld, started_ms: int) -> None:
+    """Wait until all upstreams are known with that start time."""
     while {u.started_ms for u in world.upstreams.all()} != {started_ms}:
         await asyncio.sleep(0.005)
 
 
-def test_a_kept_connection_ends_with_its_incarnation() -> None:
+def test_an_idle_connection_is_not_reused_after_a_restart() -> None:
     async def test() -> None:
         replica = ReplicaStandIn("plain-1", "plain", NAMES)
         replica.started_ms = FIRST_MS
@@ -41,7 +45,7 @@
                 assert answer.status == 200
             assert replica.connections == 1
             replica.started_ms = SECOND_MS
-            await until_known(world, SECOND_MS)
+            await wait_until_known(world, SECOND_MS)
             answer = await world.call("/view/1", "r3")
             assert answer.status == 200
             assert replica.connections == 2
@@ -53,7 +57,7 @@
     run(test())
 
 
-def test_failures_of_the_one_before_are_not_held_against_it() -> None:
+def test_a_restart_clears_the_leaving_state() -> None:
     async def test() -> None:
         replica = ReplicaStandIn("plain-1", "plain", NAMES)
         replica.started_ms = FIRST_MS
@@ -63,16 +67,16 @@
             world.upstreams.mark(before.name, "leaving", "report")
             assert (await world.call("/view/1", "r1")).status == 503
             replica.started_ms = SECOND_MS
-            await until_known(world, SECOND_MS)
+            await wait_until_known(world, SECOND_MS)
             assert (await world.call("/view/1", "r2")).status == 200
 
     run(test())
 
 
-async def draft_over(
-    start_again: Callable[[RelayWorld, ReplicaStandIn], None],
+async def check_generation_survives(
+    restart: Callable[[RelayWorld, ReplicaStandIn], None],
 ) -> None:
-    """Have the engine of a draft start again; the draft has to end whole."""
+    """Restart the engine of a generation, which must still complete."""
     stand_ins = [
         ReplicaStandIn(f"model-{i}", "model", NAMES) for i in range(2)
     ]
@@ -86,27 +90,27 @@
         for stand_in in stand_ins:
             stand_in.behave = stream
         await asyncio.sleep(0.05)
-        start_again(world, used)
+        restart(world, used)
         answer = await calling
     assert answer.is_whole
     assert answer.body == WHOLE
-    # It went on at the other: what started again knows nothing of it.
+    # It resumed on the other engine: the restarted one has no memory of it.
     assert len(used.arrivals) == 1
 
 
-def test_a_generation_leaves_an_engine_that_has_started_again() -> None:
+def test_a_generation_leaves_an_engine_listed_as_restarted() -> None:
     def listed(world: RelayWorld, used: ReplicaStandIn) -> None:
         del world
         used.started_ms = SECOND_MS
 
-    run(draft_over(listed))
+    run(check_generation_survives(listed))
 
 
-def test_an_engine_tells_itself_that_it_has_started_again() -> None:
-    """The list is out of reach while the engine crashes and comes back."""
+def test_a_generation_leaves_an_engine_that_reports_its_restart() -> None:
+    """The restart is seen in the engine's report while the list is down."""
 
     def reported(world: RelayWorld, used: ReplicaStandIn) -> None:
         world.list.is_down = True
         world.engines.started_ms[used.name] = SECOND_MS
 
-    run(draft_over(reported))
+    run(check_generation_survives(reported))
--- a/tests/test_relay_routing.py
+++ b/tests/test_relay_routing.py
@@ -1,4 +1,4 @@
-"""Routes: longest prefix, versions that only go up, what a wait changes."""
+"""Route lookup, configuration versions and admission of requests."""
 
 import math
 import random
@@ -48,7 +48,7 @@
     return admission.admit(request(path, **fields))
 
 
-def offered(routing: Routing, version: int, **fields: object) -> bool:
+def offer_version(routing: Routing, version: int, **fields: object) -> bool:
     return routing.offer(
         configuration(version, **fields), b"%d" % version, "test"
     )
@@ -61,20 +61,20 @@
     )
     path = f"/{rest}"
     found = table.find_route(HOST, path)
-    fitting = [p for p in prefixes if path.startswith(p)]
-    expected = max(fitting, key=len, default=None)
+    matching = [p for p in prefixes if path.startswith(p)]
+    expected = max(matching, key=len, default=None)
     assert (found.path_prefix if found else None) == expected
 
 
-def test_the_version_only_goes_up() -> None:
+def test_the_version_never_decreases() -> None:
     routing = Routing()
     with pytest.raises(NotConfiguredError):
         routing.table()
-    assert offered(routing, 3)
-    assert not offered(routing, 2)
-    assert not offered(routing, 3)
+    assert offer_version(routing, 3)
+    assert not offer_version(routing, 2)
+    assert not offer_version(routing, 3)
     assert routing.table().version == 3
-    assert offered(routing, 9)
+    assert offer_version(routing, 9)
     assert routing.offset == 9
 
 
@@ -83,12 +83,12 @@
     routing = Routing()
     newest = 0
     for version in versions:
-        offered(routing, version)
+        offer_version(routing, version)
         newest = max(newest, version)
         assert routing.offset == newest
 
 
-def test_weights_share_requests_out() -> None:
+def test_weights_split_requests_between_services() -> None:
     shares = (
         ServiceShare(service="a", weight=90),
         ServiceShare(service="b", weight=10),
@@ -108,11 +108,11 @@
         ("/order/1", {"key": ""}, 401),
     ],
 )
-def test_says_what_is_wrong(
+def test_refuses_unknown_routes_and_keys(
     path: str, fields: dict[str, str], status: int
 ) -> None:
     routing = Routing()
-    offered(routing, 1)
+    offer_version(routing, 1)
     refusal = admit(routing, path, **fields)
     assert isinstance(refusal, Refusal)
     assert refusal.status == status
@@ -120,7 +120,7 @@
 
 def test_a_public_route_needs_no_key() -> None:
     routing = Routing()
-    offered(
+    offer_version(
         routing,
         1,
         routes=(route("idempotent", "/open/", "plain", is_public=True),),
@@ -130,10 +130,10 @@
     assert call.workspace is None
 
 
-def test_a_workspace_priority_goes_before_that_of_the_route() -> None:
+def test_a_workspace_priority_overrides_the_route() -> None:
     routing = Routing()
     workspace = Workspace(name=WORKSPACE, keys=(KEY,), priority=7)
-    offered(routing, 1, workspaces=(workspace,))
+    offer_version(routing, 1, workspaces=(workspace,))
     call = admit(routing, "/order/1")
     assert isinstance(call, Call)
     assert call.priority == 7
@@ -150,22 +150,22 @@
         ({"routes": (route("non_idempotent", "/", "plain"),)}, True),
     ],
 )
-def test_a_call_that_waited_is_looked_at_again(
+def test_a_call_that_waited_is_checked_again(
     later: dict[str, object], allowed: bool
 ) -> None:
     routing = Routing()
-    offered(routing, 1)
+    offer_version(routing, 1)
     admission = Admission(routing, NAMES, random.Random(1))
     call = admission.admit(request("/order/1"))
     assert isinstance(call, Call)
-    offered(routing, 2, **later)
+    offer_version(routing, 2, **later)
     assert admission.still_allows(call) is allowed
 
 
 @pytest.mark.parametrize(
     ("deadline_ms", "wait_ms"), [("1000", 300), ("39000", 2_000), ("", 2_000)]
 )
-def test_without_a_configuration_callers_wait_within_their_time(
+def test_retry_after_without_a_configuration_is_within_the_deadline(
     deadline_ms: str, wait_ms: int
 ) -> None:
     admission = Admission(Routing(), NAMES, random.Random(1))
@@ -191,9 +191,9 @@
 def test_an_outdated_host_returns_retryable_denials(
     path: str, key: str, newer_reported: bool, age_s: float
 ) -> None:
-    """Guards against 401 or 404 for calls that a newer version allows."""
+    """A call that a newer version allows must not get 401 or 404."""
     routing = Routing()
-    offered(routing, 3, routes=(route("idempotent", "/a/", "plain"),))
+    offer_version(routing, 3, routes=(route("idempotent", "/a/", "plain"),))
     routing.set_age_source(fixed_age(age_s), 2.0)
     if newer_reported:
         routing.note_version(4, "another")
@@ -211,7 +211,7 @@
     path: str, key: str, status: int
 ) -> None:
     routing = Routing()
-    offered(routing, 3, routes=(route("idempotent", "/a/", "plain"),))
+    offer_version(routing, 3, routes=(route("idempotent", "/a/", "plain"),))
     routing.set_age_source(fixed_age(1.9), 2.0)
     routing.note_version(3, "another")
     refusal = admit(routing, path, key=key)
@@ -221,7 +221,7 @@
 
 def test_an_outdated_host_admits_calls_that_its_version_allows() -> None:
     routing = Routing()
-    offered(routing, 3, routes=(route("idempotent", "/a/", "plain"),))
+    offer_version(routing, 3, routes=(route("idempotent", "/a/", "plain"),))
     routing.set_age_source(fixed_age(60.0), 2.0)
     routing.note_version(4, "another")
     assert isinstance(admit(routing, "/a/x"), Call)
--- a/tests/test_relay_plain.py
+++ b/tests/test_relay_unary.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: once, whole, and told truly."""
+"""Unary calls: at-most-once execution, complete responses, true refusals."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -63,7 +63,7 @@
     await connection.send(b"ok")
 
 
-def test_passes_the_request_on_unchanged() -> None:
+def test_forwards_the_request_unchanged() -> None:
     async def test() -> None:
         stand_ins = replicas(1)
         async with RelayWorld(stand_ins) as world:
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize(
     "behave", [reset, truncate, unsigned, foreign_bytes, encoded]
 )
-def test_never_sends_twice_what_may_have_run(
+def test_never_resends_a_request_that_may_have_run(
     behave: Callable[..., Awaitable[None]],
 ) -> None:
     async def test() -> None:
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("behave", [reset, truncate, unsigned, fail])
-def test_repeats_what_may_run_again(
+def test_retries_an_idempotent_request(
     behave: Callable[..., Awaitable[None]],
 ) -> None:
     async def test() -> None:
@@ -126,8 +126,8 @@
     run(test())
 
 
-def test_a_kept_connection_that_was_closed_costs_no_second_run() -> None:
-    """A client that resends by itself would let r2 arrive twice."""
+def test_a_reset_on_a_reused_connection_causes_no_resend() -> None:
+    """A client that resends on its own would make r2 arrive twice."""
 
     async def answer_then_close(
         connection: ReplicaConnection, request: ReplicaRequest
@@ -150,7 +150,7 @@
     run(test())
 
 
-def test_a_late_extra_answer_reaches_nobody() -> None:
+def test_a_late_second_response_is_dropped() -> None:
     async def answer_twice(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
@@ -172,7 +172,7 @@
     run(test())
 
 
-def test_a_refusal_of_every_upstream_says_it_did_not_run() -> None:
+def test_refusals_of_all_upstreams_return_503() -> None:
     async def test() -> None:
         stand_ins = replicas()
         for stand_in in stand_ins:
@@ -189,7 +189,7 @@
     run(test())
 
 
-def test_what_ran_and_failed_keeps_its_own_answer() -> None:
+def test_an_error_response_is_forwarded_unchanged() -> None:
     async def test() -> None:
         stand_ins = replicas()
         for stand_in in stand_ins:
@@ -204,8 +204,8 @@
     run(test())
 
 
-def test_an_answer_without_length_is_whole_when_closed() -> None:
-    async def unframed(
+def test_a_response_without_length_ends_when_closed() -> None:
+    async def without_length(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
         await connection.head(request, 200, "Connection: close")
@@ -215,7 +215,7 @@
 
     async def test() -> None:
         stand_ins = replicas(1)
-        stand_ins[0].behave = unframed
+        stand_ins[0].behave = without_length
         async with RelayWorld(stand_ins) as world:
             world.configure()
             answer = await world.call("/order/1")
@@ -224,7 +224,7 @@
     run(test())
 
 
-def test_a_silent_upstream_ends_at_the_bound_of_the_route() -> None:
+def test_a_silent_upstream_ends_at_the_timeout_of_the_route() -> None:
     async def hang(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
@@ -244,12 +244,12 @@
             answer = await world.call("/order/1")
             assert answer.status == 504
             while stand_ins[0].open:
-                await asyncio.sleep(0.01)  # the upstream is let go of
+                await asyncio.sleep(0.01)  # the upstream is disconnected
 
     run(test())
 
 
-def test_a_caller_who_leaves_ends_the_work() -> None:
+def test_a_disconnecting_caller_ends_the_call() -> None:
     async def hang(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
@@ -276,7 +276,7 @@
     ("path", "key", "status"),
     [("/nowhere/1", KEY, 404), ("/order/1", "unknown", 401)],
 )
-def test_refuses_what_no_configuration_allows(
+def test_refuses_unknown_routes_and_keys(
     path: str, key: str, status: int
 ) -> None:
     async def test() -> None:
@@ -290,7 +290,7 @@
     run(test())
 
 
-def test_knows_nothing_before_its_first_configuration() -> None:
+def test_is_not_ready_before_its_first_configuration() -> None:
     async def test() -> None:
         async with RelayWorld(replicas(1)) as world:
             answer = await world.call("/nowhere/1", key="unknown")
@@ -319,12 +319,13 @@
     run(test())
 
 
-def test_an_address_of_another_incarnation_runs_nothing() -> None:
+def test_an_upstream_with_another_id_runs_nothing() -> None:
     async def test() -> None:
         stand_ins = replicas()
         async with RelayWorld(stand_ins) as world:
             world.configure()
-            stand_ins[0].name = "reborn"  # listed names are read anew: late
+            # The list is not read again before the call.
+            stand_ins[0].name = "reborn"
             answer = await world.call("/order/1")
         assert answer.status == 200
         assert len(all_arrivals(stand_ins)) == 1
@@ -332,7 +333,7 @@
     run(test())
 
 
-def test_answers_on_a_kept_connection_in_order() -> None:
+def test_responds_to_pipelined_requests_in_order() -> None:
     async def test() -> None:
         async with RelayWorld(replicas()) as world:
             world.configure()
@@ -347,7 +348,7 @@
     run(test())
 
 
-def test_tells_callers_to_close_while_it_leaves() -> None:
+def test_tells_callers_to_close_while_leaving() -> None:
     async def test() -> None:
         async with RelayWorld(replicas()) as world:
             world.configure()
@@ -359,7 +360,7 @@
     run(test())
 
 
-def test_a_body_over_the_limit_is_not_passed_on() -> None:
+def test_a_body_over_the_limit_is_not_forwarded() -> None:
     async def test() -> None:
         stand_ins = replicas(1)
         async with RelayWorld(stand_ins) as world:
@@ -371,7 +372,7 @@
     run(test())
 
 
-def test_without_an_upstream_callers_come_back_within_their_time() -> None:
+def test_retry_after_without_an_upstream_is_within_the_deadline() -> None:
     async def test() -> None:
         async with RelayWorld([]) as world:
             world.configure()
