--- a/src/balsamlift/platform/_engines.py
+++ b/src/balsamlift/platform/_engines.py
@@ -8,12 +8,12 @@
 from balsamlift.peers import Upstream
 from balsamlift.platform._names import MOVE_PATH, REPORT_PATH
 from balsamlift.relay import (
-    Copy,
     CopyError,
     CopyRefusedError,
-    Report,
+    EngineReport,
+    MemoryCopy,
     ReportError,
-    Run,
+    RunningGeneration,
 )
 
 # 1.3 GB of a long report take 0.5 s between failure domains; several in a
@@ -49,7 +49,7 @@
         """Call through `http`."""
         self._http = http
 
-    async def report(self, upstream: Upstream) -> Report:
+    async def report(self, upstream: Upstream) -> EngineReport:
         """Return an engine's report; raise `ReportError`."""
         try:
             answer = await self._http.call(
@@ -61,9 +61,11 @@
             report = answer.decode(_Report)
         except (CallError, msgspec.MsgspecError, RecursionError) as error:
             raise ReportError(upstream.name, f"no report: {error}") from error
-        return Report(
+        return EngineReport(
             runs=[
-                Run(request_id=request_id, tokens=tokens, events=events)
+                RunningGeneration(
+                    request_id=request_id, tokens=tokens, events=events
+                )
                 for request_id, tokens, events, _ in report.Runs
             ],
             is_leaving=report.LifecycleState not in ("", "ready"),
@@ -78,7 +80,7 @@
         target: Upstream,
         *,
         stop: bool,
-    ) -> Copy:
+    ) -> MemoryCopy:
         """Copy the memory of a running generation; raise `CopyError`."""
         body: dict[str, str | bool] = {
             "InstanceId": request_id,
@@ -99,7 +101,7 @@
             raise CopyError(source.name, error.message) from error
         moved = _decode(source, answer)
         if answer.status == _OK:
-            return Copy(moved.Handle, source, target)
+            return MemoryCopy(moved.Handle, source, target)
         if answer.status == _NO_ROOM:
             raise CopyRefusedError(source.name, "no room", moved.Handle)
         raise CopyError(source.name, f"status {answer.status}")
--- a/src/balsamlift/relay/_departure.py
+++ b/src/balsamlift/relay/_departure.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 
 from balsamlift.relay._configuration import EngineTraits
-from balsamlift.relay._engines import Run
+from balsamlift.relay._engines import RunningGeneration
 
 # Copies between failure domains take longer.
 OTHER_DOMAIN_FACTOR = 2.0
@@ -36,7 +36,7 @@
     return megabits / traits.link_mbps * factor
 
 
-def place_in_line(runs: Sequence[Run], request_id: str) -> int:
+def place_in_line(runs: Sequence[RunningGeneration], request_id: str) -> int:
     """Return how many of the runs on an engine leave it before this one.
 
     Those with the most to lose for the memory that has to be moved go first,
@@ -48,7 +48,7 @@
     return ids.index(request_id) if request_id in ids else len(ids)
 
 
-def _order(run: Run) -> tuple[bool, float, str]:
+def _order(run: RunningGeneration) -> tuple[bool, float, str]:
     value = (run.events + TYPICAL_EVENTS) / max(run.tokens, 1)
     return run.events <= SHORT_EVENTS, -value, run.request_id
 
--- a/src/balsamlift/relay/_doubts.py
+++ b/src/balsamlift/relay/_doubts.py
@@ -8,7 +8,7 @@
 from balsamlift._tasks import end_task
 from balsamlift.clock import Clock
 from balsamlift.peers import Upstream, Upstreams
-from balsamlift.relay._engines import EngineCalls, ReportError
+from balsamlift.relay._engines import EngineClient, ReportError
 
 # An engine that gives notice must be found out in time for a move.
 ASK_S = 0.5
@@ -26,7 +26,7 @@
     def __init__(
         self,
         upstreams: Upstreams,
-        engines: EngineCalls,
+        engines: EngineClient,
         clock: Clock,
         in_use: Callable[[], Collection[Upstream]],
     ) -> None:
--- a/src/balsamlift/relay/_engines.py
+++ b/src/balsamlift/relay/_engines.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Copy:
+class MemoryCopy:
     """Memory of a generation that a resumed request continues from."""
 
     handle: str
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class Run:
+class RunningGeneration:
     """State of one running generation, as reported by its engine."""
 
     request_id: str
@@ -50,19 +50,19 @@
 
 
 @attrs.frozen
-class Report:
+class EngineReport:
     """State of an engine, as it was about 100 ms before the report."""
 
-    runs: list[Run]
+    runs: list[RunningGeneration]
     is_leaving: bool
     started_ms: int = 0  # wall time of the engine's start; 0: unknown
     leaves_s: float | None = None  # time left until it exits, if known
 
 
-class EngineCalls(Protocol):
+class EngineClient(Protocol):
     """Client for engine reports and for copies between engines."""
 
-    async def report(self, upstream: Upstream) -> Report:
+    async def report(self, upstream: Upstream) -> EngineReport:
         """Return the report of an engine.
 
         Raises `ReportError`.
@@ -75,7 +75,7 @@
         target: Upstream,
         *,
         stop: bool,
-    ) -> Copy:
+    ) -> MemoryCopy:
         """Copy the memory of a running generation to another engine.
 
         A repeated copy transfers only what is new since the last one. With
--- a/src/balsamlift/relay/_generation.py
+++ b/src/balsamlift/relay/_generation.py
@@ -19,7 +19,7 @@
 from balsamlift.relay._attempt import Attempt
 from balsamlift.relay._backup import Backup
 from balsamlift.relay._culprits import CRASH_THRESHOLD
-from balsamlift.relay._engines import Copy
+from balsamlift.relay._engines import MemoryCopy
 from balsamlift.relay._events import EventError, EventSplitter
 from balsamlift.relay._exchange import Reply
 from balsamlift.relay._headers import caller_headers
@@ -81,7 +81,7 @@
         self._read_task: asyncio.Task[None] | None = None
         self._reply: Reply | None = None
         self._move: Move | None = None
-        self._move_task: asyncio.Task[Copy | None] | None = None
+        self._move_task: asyncio.Task[MemoryCopy | None] | None = None
         self._last_event_s = asyncio.get_running_loop().time()
         self._lost_engines = 0
         self.stats = StreamStats()
@@ -235,7 +235,7 @@
         if self._move is not None:
             self._move.release()
 
-    async def _finish_move(self) -> Copy | None:
+    async def _finish_move(self) -> MemoryCopy | None:
         """Return the copy for which the engine was stopped, or None.
 
         With None, the engine was lost and any move in progress has failed.
--- a/src/balsamlift/relay/_link_turn.py
+++ b/src/balsamlift/relay/_link_turn.py
@@ -10,7 +10,7 @@
 from balsamlift.peers import Upstream
 from balsamlift.relay._balance import Balancer, link_key
 from balsamlift.relay._departure import Departure, place_in_line
-from balsamlift.relay._engines import EngineCalls
+from balsamlift.relay._engines import EngineClient
 
 # Between two looks at whether the link is free.
 POLL_S = 0.01
@@ -34,7 +34,7 @@
     def __init__(
         self,
         balancer: Balancer,
-        engines: EngineCalls,
+        engines: EngineClient,
         source: Upstream,
         request_id: str,
     ) -> None:
--- a/src/balsamlift/relay/_move.py
+++ b/src/balsamlift/relay/_move.py
@@ -10,7 +10,7 @@
 from balsamlift.peers import Upstream
 from balsamlift.relay._claims import claim_room
 from balsamlift.relay._departure import copy_s
-from balsamlift.relay._engines import Copy, CopyRefusedError
+from balsamlift.relay._engines import CopyRefusedError, MemoryCopy
 from balsamlift.relay._job import Job
 from balsamlift.relay._link_turn import LinkTurn
 from balsamlift.relay._rooms import Holding
@@ -48,7 +48,7 @@
             tools.balancer, tools.engines, source, job.request_id
         )
 
-    async def run(self) -> Copy | None:
+    async def run(self) -> MemoryCopy | None:
         """Copy the memory while the engine works, then stop it there.
 
         The stop closes the engine's stream without its end; then the
@@ -67,7 +67,7 @@
             except CopyRefusedError as error:
                 self.release()
                 if error.handle:
-                    return Copy(error.handle, self._source, self._source)
+                    return MemoryCopy(error.handle, self._source, self._source)
                 self._log(target, str(error))
                 tried.add(target.name)
             except UpstreamError as error:
@@ -92,7 +92,7 @@
         )
         return self._claim.upstream if self._claim else None
 
-    async def _move_to(self, target: Upstream) -> Copy:
+    async def _move_to(self, target: Upstream) -> MemoryCopy:
         loop = asyncio.get_running_loop()
         await self._turn.wait(self._copy_s(target))
         left_s = self._turn.departure.gone_s - loop.time()
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -20,7 +20,7 @@
 from balsamlift.relay._cold_starts import ColdLimits, ColdStarts
 from balsamlift.relay._crash_guard import CrashGuard
 from balsamlift.relay._doubts import Doubts
-from balsamlift.relay._engines import EngineCalls
+from balsamlift.relay._engines import EngineClient
 from balsamlift.relay._exchange import Exchange
 from balsamlift.relay._frontend import Frontend
 from balsamlift.relay._generations import Generations
@@ -72,7 +72,7 @@
     def __init__(
         self,
         settings: RelaySettings,
-        engines: EngineCalls,
+        engines: EngineClient,
         clock: Clock,
         rng: random.Random,
     ) -> None:
--- a/src/balsamlift/relay/_tools.py
+++ b/src/balsamlift/relay/_tools.py
@@ -10,7 +10,7 @@
 from balsamlift.peers import Upstreams
 from balsamlift.relay._balance import Balancer
 from balsamlift.relay._crash_guard import CrashGuard
-from balsamlift.relay._engines import EngineCalls
+from balsamlift.relay._engines import EngineClient
 from balsamlift.relay._exchange import Exchange
 from balsamlift.relay._rooms import Rooms
 from balsamlift.relay._wire import HeaderNames
@@ -23,7 +23,7 @@
     exchange: Exchange
     balancer: Balancer
     rooms: Rooms
-    engines: EngineCalls
+    engines: EngineClient
     names: HeaderNames
     metrics: Metrics
     upstreams: Upstreams
--- a/src/balsamlift/testing/_relay_world.py
+++ b/src/balsamlift/testing/_relay_world.py
@@ -20,19 +20,19 @@
     CallerLimits,
     ColdLimits,
     Configuration,
-    Copy,
     CopyRefusedError,
     Directory,
+    EngineReport,
     EngineTraits,
     Frontend,
     HeaderNames,
+    MemoryCopy,
     Relay,
     RelaySettings,
-    Report,
     RetryLimits,
     Route,
     Routing,
-    Run,
+    RunningGeneration,
     Service,
     ServiceShare,
     Workspace,
@@ -143,16 +143,16 @@
         """Begin with room everywhere."""
         self.copies: list[tuple[str, str, str, bool]] = []
         self.has_room = True
-        self.running: dict[str, list[Run]] = {}
+        self.running: dict[str, list[RunningGeneration]] = {}
         self.leaving: set[str] = set()
         self.started_ms: dict[str, int] = {}
         self.asked: list[str] = []
         self.on_stop: list[asyncio.Event] = []
 
-    async def report(self, upstream: Upstream) -> Report:
+    async def report(self, upstream: Upstream) -> EngineReport:
         """Return what a test says of that engine."""
         self.asked.append(upstream.name)
-        return Report(
+        return EngineReport(
             runs=self.running.get(upstream.name, []),
             is_leaving=upstream.name in self.leaving,
             started_ms=self.started_ms.get(upstream.id, 0),
@@ -165,7 +165,7 @@
         target: Upstream,
         *,
         stop: bool,
-    ) -> Copy:
+    ) -> MemoryCopy:
         """Note the order; with `stop`, let the source end its stream."""
         self.copies.append((source.name, request_id, target.name, stop))
         if not self.has_room:
@@ -173,7 +173,7 @@
         if stop:
             for waiting in self.on_stop:
                 waiting.set()
-        return Copy(f"handle-{request_id}", source, target)
+        return MemoryCopy(f"handle-{request_id}", source, target)
 
 
 @attrs.frozen
--- a/tests/test_relay_departure.py
+++ b/tests/test_relay_departure.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from balsamlift.relay import EngineTraits, Run
+from balsamlift.relay import EngineTraits, RunningGeneration
 from balsamlift.relay._departure import (
     LEAST_NOTICE_S,
     Departure,
@@ -16,10 +16,10 @@
     memory_tokens=34_484, token_bytes=327_680, link_mbps=47_000.0
 )
 RUNS = [
-    Run(request_id="long", tokens=4_000, events=300),
-    Run(request_id="small", tokens=2_000, events=100),
-    Run(request_id="large", tokens=6_000, events=120),
-    Run(request_id="short", tokens=2_500, events=2),
+    RunningGeneration(request_id="long", tokens=4_000, events=300),
+    RunningGeneration(request_id="small", tokens=2_000, events=100),
+    RunningGeneration(request_id="large", tokens=6_000, events=120),
+    RunningGeneration(request_id="short", tokens=2_500, events=2),
 ]
 NOTICED_S = 50.0
 
--- a/tests/test_relay_leaving_load.py
+++ b/tests/test_relay_leaving_load.py
@@ -12,11 +12,11 @@
 
 from balsamlift.peers import Upstream
 from balsamlift.relay import (
-    Copy,
     CopyError,
+    EngineReport,
     EngineTraits,
-    Report,
-    Run,
+    MemoryCopy,
+    RunningGeneration,
     Service,
 )
 from balsamlift.testing.relay import (
@@ -78,17 +78,17 @@
             await asyncio.sleep(0.005)
         connection.reset()
 
-    async def report(self, upstream: Upstream) -> Report:
+    async def report(self, upstream: Upstream) -> EngineReport:
         """Tell what was so half a second ago."""
         runs = [
-            Run(request_id=name, tokens=TOKENS, events=50)
+            RunningGeneration(request_id=name, tokens=TOKENS, events=50)
             for name in [*self.ended, *self.stopped]
         ]
         now_s = asyncio.get_running_loop().time()
         taken_s = now_s - REPORT_LAG_S
         knows = taken_s >= self.noticed_s
         leaves_s = self.noticed_s + NOTICE_S - taken_s if knows else None
-        return Report(runs=runs, is_leaving=knows, leaves_s=leaves_s)
+        return EngineReport(runs=runs, is_leaving=knows, leaves_s=leaves_s)
 
     async def copy(
         self,
@@ -97,7 +97,7 @@
         target: Upstream,
         *,
         stop: bool,
-    ) -> Copy:
+    ) -> MemoryCopy:
         """Copy what is new, behind the copies before it."""
         async with self.link:
             is_first = request_id not in self.copied
@@ -107,7 +107,7 @@
         self.copied.add(request_id)
         if stop:
             self.stopped[request_id].set()
-        return Copy(f"handle-{request_id}", source, target)
+        return MemoryCopy(f"handle-{request_id}", source, target)
 
 
 async def leave(running: int, ended: int) -> list[CallerAnswer]:
