--- a/src/balsamlift/platform/_decode.py
+++ b/src/balsamlift/platform/_decode.py
@@ -11,7 +11,7 @@
 from balsamlift.peers import ENTRY_ROLE, UPSTREAM_ROLE, ListEntry, Record
 from balsamlift.platform._names import CONFIGURATION_KEY, EVACUATION_PREFIX
 from balsamlift.relay import (
-    FIRST_LIMITS,
+    DEFAULT_CALLER_LIMITS,
     CallerLimits,
     Configuration,
     EngineTraits,
@@ -64,9 +64,9 @@
 
 class _Limits(msgspec.Struct):
     MaxBodyBytes: int
-    MaxHeaderBytes: int = FIRST_LIMITS.head_bytes  # of the whole head
-    HeaderTimeoutMs: int = FIRST_LIMITS.head_timeout_ms
-    IdleTimeoutMs: int = FIRST_LIMITS.idle_timeout_ms
+    MaxHeaderBytes: int = DEFAULT_CALLER_LIMITS.head_bytes  # of the whole head
+    HeaderTimeoutMs: int = DEFAULT_CALLER_LIMITS.head_timeout_ms
+    IdleTimeoutMs: int = DEFAULT_CALLER_LIMITS.idle_timeout_ms
 
 
 class _Tenant(msgspec.Struct):
--- a/src/balsamlift/relay/__init__.py
+++ b/src/balsamlift/relay/__init__.py
@@ -24,14 +24,14 @@
     ReportError,
     RunningGeneration,
 )
-from balsamlift.relay._frontend import FIRST_LIMITS, Frontend
+from balsamlift.relay._frontend import DEFAULT_CALLER_LIMITS, Frontend
 from balsamlift.relay._retries import RetryLimits
 from balsamlift.relay._routing import Routing
 from balsamlift.relay._service import Relay, RelaySettings
 from balsamlift.relay._wire import HeaderNames
 
 __all__ = [
-    "FIRST_LIMITS",
+    "DEFAULT_CALLER_LIMITS",
     "AddressAnswer",
     "Caller",
     "CallerLimits",
--- a/src/balsamlift/relay/_frontend.py
+++ b/src/balsamlift/relay/_frontend.py
@@ -37,7 +37,7 @@
 # In force until the first configuration arrives. Operators configure idle
 # timeouts of about 15 s; these limits are higher, so that no caller is timed
 # out before then.
-FIRST_LIMITS = CallerLimits(
+DEFAULT_CALLER_LIMITS = CallerLimits(
     body_bytes=4_194_304,
     head_bytes=65_536,
     head_timeout_ms=30_000,
@@ -225,7 +225,7 @@
         bound_port = self._sockets[0].getsockname()[1]
         self.address = join_address(ip, bound_port)
         self.clock = clock
-        self.limits = FIRST_LIMITS
+        self.limits = DEFAULT_CALLER_LIMITS
         self.is_closing = False  # responses carry "Connection: close"
         self.tasks: set[asyncio.Task[None]] = set()
         self._handle: RequestHandler = _refuse_all
--- a/tests/test_platform_decode.py
+++ b/tests/test_platform_decode.py
@@ -30,7 +30,7 @@
     decode_node_settings,
 )
 from balsamlift.platform._store import _decode_read
-from balsamlift.relay import FIRST_LIMITS, CallerLimits, ColdLimits
+from balsamlift.relay import DEFAULT_CALLER_LIMITS, CallerLimits, ColdLimits
 
 MANIFEST: dict[str, Any] = {
     "Version": 7,
@@ -139,7 +139,9 @@
 def test_limits_that_are_not_told_are_wide() -> None:
     manifest = {**MANIFEST, "Limits": {"MaxBodyBytes": 1}}
     configuration = decode_configuration(json.dumps(manifest).encode())
-    assert configuration.limits == attrs.evolve(FIRST_LIMITS, body_bytes=1)
+    assert configuration.limits == attrs.evolve(
+        DEFAULT_CALLER_LIMITS, body_bytes=1
+    )
 
 
 def test_an_unknown_kind_is_taken_as_the_strictest() -> None:
