--- a/src/balsamlift/platform/_decode.py
+++ b/src/balsamlift/platform/_decode.py
@@ -261,7 +261,7 @@
     engine = service.Engine
     return Service(
         name=service.Name,
-        most_connections=service.MaxConnections,
+        max_connections=service.MaxConnections,
         cold_per_s=service.ColdPerS,
         engine=None
         if engine is None
--- a/src/balsamlift/relay/_configuration.py
+++ b/src/balsamlift/relay/_configuration.py
@@ -50,7 +50,7 @@
     """Properties of a service, whose upstreams form one pool."""
 
     name: str
-    most_connections: int  # to one upstream, from all hosts together
+    max_connections: int  # to one upstream, from all hosts together
     engine: EngineTraits | None = None  # None: no generation service
     cold_per_s: float | None = None  # tolerated by one cold upstream
 
--- a/src/balsamlift/testing/_relay_world.py
+++ b/src/balsamlift/testing/_relay_world.py
@@ -111,8 +111,8 @@
             route("stream", "/draft/", "model"),
         ),
         "services": (
-            Service(name="plain", most_connections=100),
-            Service(name="model", most_connections=100, engine=ENGINE),
+            Service(name="plain", max_connections=100),
+            Service(name="model", max_connections=100, engine=ENGINE),
         ),
         "workspaces": (Workspace(name=WORKSPACE, keys=(KEY,)),),
         "limits": LIMITS,
--- a/tests/test_relay_leaving_load.py
+++ b/tests/test_relay_leaving_load.py
@@ -119,7 +119,7 @@
         engine = LeavingEngine(world, [f"e{n}" for n in range(ended)])
         world.engines.report = engine.report  # type: ignore[method-assign]
         world.engines.copy = engine.copy  # type: ignore[method-assign]
-        service = Service(name="model", most_connections=100, engine=TRAITS)
+        service = Service(name="model", max_connections=100, engine=TRAITS)
         world.configure(services=(service,))
         first.behave = second.behave = engine.behave
         calls = [
