--- a/src/balsamlift/platform/_decode.py
+++ b/src/balsamlift/platform/_decode.py
@@ -262,7 +262,7 @@
     return Service(
         name=service.Name,
         max_connections=service.MaxConnections,
-        cold_per_s=service.ColdPerS,
+        cold_requests_per_s=service.ColdPerS,
         engine=None
         if engine is None
         else EngineTraits(
--- a/src/balsamlift/relay/_configuration.py
+++ b/src/balsamlift/relay/_configuration.py
@@ -52,7 +52,7 @@
     name: str
     max_connections: int  # to one upstream, from all hosts together
     engine: EngineTraits | None = None  # None: no generation service
-    cold_per_s: float | None = None  # tolerated by one cold upstream
+    cold_requests_per_s: float | None = None  # tolerated by one cold upstream
 
 
 @attrs.frozen(kw_only=True)
--- a/src/balsamlift/relay/_routing.py
+++ b/src/balsamlift/relay/_routing.py
@@ -184,13 +184,13 @@
             return None
         return self._table.regions_of(host)
 
-    def cold_per_s(self, pool: str) -> float | None:
+    def cold_requests_per_s(self, pool: str) -> float | None:
         """Return the request rate that a cold upstream of a pool tolerates.
 
         None where the configuration does not specify it.
         """
         service = self._table.services.get(pool) if self._table else None
-        return service.cold_per_s if service else None
+        return service.cold_requests_per_s if service else None
 
     def table(self) -> RoutingTable:
         """Return the table in force.
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -100,7 +100,7 @@
             self._settings.failure_domain,
             ColdStarts(
                 self._settings.cold_limits,
-                routing.cold_per_s,
+                routing.cold_requests_per_s,
                 peers.known_place_for,
                 self._clock,
             ),
--- a/tests/test_platform_decode.py
+++ b/tests/test_platform_decode.py
@@ -364,7 +364,7 @@
     assert configuration.routes[0].regions == {"land", "sea"}
     assert configuration.routes[1].regions == frozenset()
     assert configuration.workspaces[0].regions == {"sea"}
-    assert configuration.services[0].cold_per_s == 27.0
+    assert configuration.services[0].cold_requests_per_s == 27.0
     entry = decode_upstream("i-1", changed(ColdRemainingMs=800.5, Sequence=9))
     assert (entry.cold_ms, entry.written) == (800.5, 9)
 
--- a/tests/test_relay_cold_starts.py
+++ b/tests/test_relay_cold_starts.py
@@ -165,7 +165,7 @@
         cold.cold_ms = 60_000
         async with RelayWorld([cold, warm], cold_limits=LIMITS) as world:
             services = [
-                attrs.evolve(service, cold_per_s=0.0)
+                attrs.evolve(service, cold_requests_per_s=0.0)
                 for service in configuration().services
             ]
             world.configure(services=tuple(services))
