--- a/src/balsamlift/platform/_engines.py
+++ b/src/balsamlift/platform/_engines.py
@@ -70,7 +70,7 @@
             ],
             is_leaving=report.LifecycleState not in ("", "ready"),
             started_ms=report.born,
-            leaves_s=_seconds(report.leaves_ms),
+            time_left_s=_seconds(report.leaves_ms),
         )
 
     async def copy(
--- a/src/balsamlift/relay/_engines.py
+++ b/src/balsamlift/relay/_engines.py
@@ -56,7 +56,7 @@
     runs: list[RunningGeneration]
     is_leaving: bool
     started_ms: int = 0  # wall time of the engine's start; 0: unknown
-    leaves_s: float | None = None  # time left until it exits, if known
+    time_left_s: float | None = None  # until it exits, if known
 
 
 class EngineClient(Protocol):
--- a/src/balsamlift/relay/_link_turn.py
+++ b/src/balsamlift/relay/_link_turn.py
@@ -107,7 +107,7 @@
             report = await self._engines.report(self._source)
         except UpstreamError:
             return  # one that is gone ends the stream as well
-        self.departure.take(report.leaves_s)
+        self.departure.take(report.time_left_s)
         if self._place is not None:
             return  # a later report may still list those that have gone
         self._place = place_in_line(report.runs, self._request_id)
--- a/tests/test_relay_leaving_load.py
+++ b/tests/test_relay_leaving_load.py
@@ -87,8 +87,10 @@
         now_s = asyncio.get_running_loop().time()
         taken_s = now_s - REPORT_LAG_S
         knows = taken_s >= self.noticed_s
-        leaves_s = self.noticed_s + NOTICE_S - taken_s if knows else None
-        return EngineReport(runs=runs, is_leaving=knows, leaves_s=leaves_s)
+        time_left_s = self.noticed_s + NOTICE_S - taken_s if knows else None
+        return EngineReport(
+            runs=runs, is_leaving=knows, time_left_s=time_left_s
+        )
 
     async def copy(
         self,
