--- a/src/balsamlift/relay/_backup.py
+++ b/src/balsamlift/relay/_backup.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from balsamlift.peers import Upstream
+from balsamlift.relay._generation_context import GenerationContext
 from balsamlift.relay._job import Job
 from balsamlift.relay._rooms import Holding
-from balsamlift.relay._tools import Tools
 
 
 class Backup:
@@ -14,7 +14,7 @@
     Engines crash without notice, or leave before all copies are away.
     """
 
-    def __init__(self, tools: Tools, job: Job) -> None:
+    def __init__(self, tools: GenerationContext, job: Job) -> None:
         """Begin with none."""
         self._tools = tools
         self._job = job
--- a/src/balsamlift/relay/_claims.py
+++ b/src/balsamlift/relay/_claims.py
@@ -12,9 +12,9 @@
 import asyncio
 from collections.abc import Collection
 
+from balsamlift.relay._generation_context import GenerationContext
 from balsamlift.relay._job import Job
 from balsamlift.relay._rooms import Holding
-from balsamlift.relay._tools import Tools
 
 # What leaves may fill an engine further than newcomers, which can come back:
 # without room it is lost. The engine refuses what does not fit in fact.
@@ -30,7 +30,7 @@
 
 
 async def claim_room(
-    tools: Tools, job: Job, near: str, tried: Collection[str]
+    tools: GenerationContext, job: Job, near: str, tried: Collection[str]
 ) -> Holding | None:
     """Hold room that no other claim goes beyond; None where there is none.
 
@@ -49,7 +49,7 @@
 
 
 async def _hold_best(
-    tools: Tools, job: Job, near: str, tried: Collection[str]
+    tools: GenerationContext, job: Job, near: str, tried: Collection[str]
 ) -> Holding | None:
     """Hold the best room there is, until what others hold is known."""
     balancer = tools.balancer
--- a/src/balsamlift/relay/_generation.py
+++ b/src/balsamlift/relay/_generation.py
@@ -22,12 +22,12 @@
 from balsamlift.relay._engines import MemoryCopy
 from balsamlift.relay._events import EventError, EventSplitter
 from balsamlift.relay._exchange import Reply
+from balsamlift.relay._generation_context import GenerationContext
 from balsamlift.relay._headers import caller_headers
 from balsamlift.relay._job import Job
 from balsamlift.relay._move import Move
 from balsamlift.relay._request import Responder
 from balsamlift.relay._rooms import Holding
-from balsamlift.relay._tools import Tools
 
 log = logger.bind(part="generations")
 
@@ -63,14 +63,14 @@
 
     def __init__(
         self,
-        tools: Tools,
+        context: GenerationContext,
         job: Job,
         responder: Responder,
         holding: Holding,
         backup: Backup,
     ) -> None:
         """Create a relay to `responder`; `relay` starts it."""
-        self._tools = tools
+        self._context = context
         self._job = job
         self._responder = responder
         self._holding = holding
@@ -147,11 +147,11 @@
                 event=self._splitter.last_id,
             ).info("{}", error)
             self._inbox.put_nowait("broken")
-            self._tools.crash_guard.check_broken_call(
+            self._context.crash_guard.check_broken_call(
                 self._job.call, reply.upstream, had_output=has_output
             )
             return
-        self._tools.exchange.release_connection(reply.connection)
+        self._context.exchange.release_connection(reply.connection)
         self._inbox.put_nowait("whole")
 
     async def _relay(self) -> str:
@@ -165,7 +165,7 @@
                 if self._splitter.incomplete:
                     return self._fail("ended within an event")
                 self._responder.finish()
-                self._tools.crash_guard.record_completed(self._job.call)
+                self._context.crash_guard.record_completed(self._job.call)
                 return "whole"
             elif item == "leaving":
                 if not await self._resume_at_backup():
@@ -205,7 +205,7 @@
     def _start_move(self) -> None:
         if not self._job.traits.can_move or self._move_task is not None:
             return
-        self._move = Move(self._tools, self._job, self._holding.upstream)
+        self._move = Move(self._context, self._job, self._holding.upstream)
         self._move_task = asyncio.create_task(self._move.run())
 
     async def _resume_elsewhere(self) -> bool:
@@ -270,7 +270,7 @@
             self._backup.release()
             return False
         self.stats.moves += 1
-        self._tools.metrics.count("generations.moved")
+        self._context.metrics.count("generations.moved")
         self._stop_reading()
         self._discard_buffered()
         self._holding.move(upstream)
@@ -286,23 +286,23 @@
     async def _request_resume(
         self, upstream: Upstream, source: str
     ) -> Reply | None:
-        if self._tools.crash_guard.is_culprit(self._job.call):
+        if self._context.crash_guard.is_culprit(self._job.call):
             return None
-        if self._tools.upstreams.is_in_evacuation(upstream):
+        if self._context.upstreams.is_in_evacuation(upstream):
             return None
-        names = self._tools.names
+        names = self._context.names
         extra = [(names.resume_source, source), *self._backup.headers()]
         if self._splitter.last_id >= 0:
             extra.append((names.last_event_id, str(self._splitter.last_id)))
         # This is the same execution, stopped on one engine and resumed on
         # the other, so it has an attempt of its own.
         attempt = Attempt(is_idempotent=False)
-        self._tools.balancer.sending(upstream)
+        self._context.balancer.sending(upstream)
         with suppress(
             UpstreamUnreachableError, UpstreamBrokenError, TimeoutError
         ):
             async with asyncio.timeout(RESUME_TIMEOUT_S):
-                reply = await self._tools.exchange.send(
+                reply = await self._context.exchange.send(
                     self._job.call, attempt, upstream, extra
                 )
             if reply.is_success:
--- a/src/balsamlift/relay/_tools.py
+++ b/src/balsamlift/relay/_generation_context.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Tools:
+class GenerationContext:
     """The components of the relay that generations share."""
 
     exchange: Exchange
--- a/src/balsamlift/relay/_generations.py
+++ b/src/balsamlift/relay/_generations.py
@@ -20,6 +20,7 @@
 from balsamlift.relay._crash_guard import CRASHING_REQUEST
 from balsamlift.relay._exchange import Reply
 from balsamlift.relay._generation import Generation
+from balsamlift.relay._generation_context import GenerationContext
 from balsamlift.relay._headers import caller_headers
 from balsamlift.relay._job import Job
 from balsamlift.relay._needs import Need, read_need
@@ -32,7 +33,6 @@
 from balsamlift.relay._request import Call, Outcome, Refusal, Responder
 from balsamlift.relay._retries import Retries
 from balsamlift.relay._rooms import Holding
-from balsamlift.relay._tools import Tools
 
 log = logger.bind(part="generations")
 
@@ -65,13 +65,13 @@
 
     def __init__(
         self,
-        tools: Tools,
+        context: GenerationContext,
         admission: Admission,
         retries: Retries,
         upstreams: Upstreams,
     ) -> None:
         """Subscribe to changes of `upstreams` to detect leaving engines."""
-        self._tools = tools
+        self._context = context
         self._admission = admission
         self._retries = retries
         self._upstreams = upstreams
@@ -96,7 +96,7 @@
     async def run(self, call: Call, responder: Responder) -> Outcome:
         """Respond to the caller and return the outcome for the log."""
         attempt = Attempt(is_idempotent=False)
-        need = read_need(call.request.headers, self._tools.names)
+        need = read_need(call.request.headers, self._context.names)
         if not self._fits_before_leaving(need):
             # Another host can finish it; this one would have to abort it.
             refusal = give_up(attempt, "host is leaving", 0)
@@ -125,20 +125,20 @@
         tried: set[str] = set()
         unreachable = 0
         while True:
-            if self._tools.crash_guard.is_culprit(call):
+            if self._context.crash_guard.is_culprit(call):
                 return CRASHING_REQUEST
             sends_before = attempt.sends
             holding = await self._wait_for_room(job, tried)
             if holding is None:
                 now_s = asyncio.get_running_loop().time()
-                if self._tools.balancer.is_closed(call.scope):
+                if self._context.balancer.is_closed(call.scope):
                     return no_upstream(attempt, call, now_s)
                 return no_room(attempt, call, now_s)
-            backup = Backup(self._tools, job)
+            backup = Backup(self._context, job)
             backup.choose(holding.upstream)
             self._log_placed(call, holding, backup)
             unread_prompt = Holding(
-                self._tools.balancer,
+                self._context.balancer,
                 holding.upstream,
                 job.need.prompt_tokens,
                 prefill_key,
@@ -146,7 +146,7 @@
             try:
                 if not self._admission.still_allows(call):
                     return give_up(attempt, "configuration changed", 0)
-                if self._tools.crash_guard.is_culprit(call):
+                if self._context.crash_guard.is_culprit(call):
                     return CRASHING_REQUEST
                 result = await self._send(
                     call, attempt, holding.upstream, backup.headers()
@@ -182,8 +182,8 @@
         wait_by_s = call.request.arrived_s + target_s * MAX_WAIT_FACTOR
         try:
             async with asyncio.timeout_at(wait_by_s):
-                await self._tools.balancer.refresh()
-                return await self._tools.rooms.wait(
+                await self._context.balancer.refresh()
+                return await self._context.rooms.wait(
                     call.scope, job.traits, job.tokens, call.priority, tried
                 )
         except TimeoutError:
@@ -193,7 +193,7 @@
         self, call: Call, holding: Holding, backup: Backup
     ) -> None:
         waited_s = asyncio.get_running_loop().time() - call.request.arrived_s
-        balancer = self._tools.balancer
+        balancer = self._context.balancer
         upstream = holding.upstream.name
         log.bind(
             request=call.request_id,
@@ -213,9 +213,9 @@
         upstream: Upstream,
         extra: list[tuple[str, str]],
     ) -> Reply | Refusal:
-        balancer = self._tools.balancer
+        balancer = self._context.balancer
         try:
-            reply = await self._tools.exchange.send(
+            reply = await self._context.exchange.send(
                 call, attempt, upstream, extra
             )
         except (UpstreamUnreachableError, UpstreamBrokenError) as error:
@@ -227,7 +227,7 @@
                 may_have_run=attempt.may_have_run,
             ).warning("left alone: {}", error)
             if isinstance(error, UpstreamBrokenError):
-                self._tools.crash_guard.check_broken_call(
+                self._context.crash_guard.check_broken_call(
                     call, upstream, had_output=False
                 )
             return give_up(attempt, "engine gave no answer")
@@ -250,7 +250,7 @@
     ) -> str:
         reply = started.reply
         generation = Generation(
-            self._tools, job, responder, started.holding, started.backup
+            self._context, job, responder, started.holding, started.backup
         )
         self._running.add(generation)
         if self._is_leaving(reply.upstream):
@@ -258,9 +258,9 @@
         try:
             if not reply.is_success:
                 if reply.head.status != GATEWAY_TIMEOUT:
-                    self._tools.balancer.saw_failure(reply.upstream.name)
+                    self._context.balancer.saw_failure(reply.upstream.name)
                 return await self._pass_failure(reply, responder)
-            self._tools.balancer.saw_success(reply.upstream.name)
+            self._context.balancer.saw_success(reply.upstream.name)
             outcome = await generation.relay(reply)
             stats = generation.stats
             log.bind(
@@ -282,7 +282,7 @@
     async def _pass_failure(self, reply: Reply, responder: Responder) -> str:
         """Forward an error response of the engine unchanged."""
         try:
-            body = await self._tools.exchange.read_full_body(
+            body = await self._context.exchange.read_full_body(
                 reply, MAX_ERROR_BODY_BYTES
             )
         except UpstreamBrokenError:
--- a/src/balsamlift/relay/_move.py
+++ b/src/balsamlift/relay/_move.py
@@ -11,10 +11,10 @@
 from balsamlift.relay._claims import claim_room
 from balsamlift.relay._departure import copy_s
 from balsamlift.relay._engines import CopyRefusedError, MemoryCopy
+from balsamlift.relay._generation_context import GenerationContext
 from balsamlift.relay._job import Job
 from balsamlift.relay._link_turn import LinkTurn
 from balsamlift.relay._rooms import Holding
-from balsamlift.relay._tools import Tools
 
 log = logger.bind(part="generations")
 
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        tools: Tools,
+        tools: GenerationContext,
         job: Job,
         source: Upstream,
     ) -> None:
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -23,6 +23,7 @@
 from balsamlift.relay._engines import EngineClient
 from balsamlift.relay._exchange import Exchange
 from balsamlift.relay._frontend import Frontend
+from balsamlift.relay._generation_context import GenerationContext
 from balsamlift.relay._generations import Generations
 from balsamlift.relay._pool import ConnectionPool
 from balsamlift.relay._request import (
@@ -35,7 +36,6 @@
 from balsamlift.relay._retries import Retries, RetryLimits
 from balsamlift.relay._rooms import Rooms
 from balsamlift.relay._routing import Routing, RoutingTable
-from balsamlift.relay._tools import Tools
 from balsamlift.relay._unary import UnaryCalls
 from balsamlift.relay._wire import HeaderNames
 
@@ -124,7 +124,7 @@
             self._retries,
             self._crash_guard,
         )
-        tools = Tools(
+        context = GenerationContext(
             exchange=exchange,
             balancer=balancer,
             rooms=self._rooms,
@@ -136,7 +136,7 @@
             crash_guard=self._crash_guard,
         )
         self._generations = Generations(
-            tools, self._admission, self._retries, self._upstreams
+            context, self._admission, self._retries, self._upstreams
         )
         self._doubts = Doubts(
             self._upstreams,
--- a/tests/test_relay_claims.py
+++ b/tests/test_relay_claims.py
@@ -15,10 +15,10 @@
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer
 from balsamlift.relay._claims import FILLED_BY_MOVES_PART, claim_room
+from balsamlift.relay._generation_context import GenerationContext
 from balsamlift.relay._job import Job
 from balsamlift.relay._placing import STANDARD
 from balsamlift.relay._rooms import Holding, Rooms
-from balsamlift.relay._tools import Tools
 
 TRAITS = EngineTraits(memory_tokens=10_000, can_move=True)
 TOKENS = 1_000
@@ -47,7 +47,7 @@
         tools = Namespace(balancer=balancer, rooms=Rooms(balancer), rng=rng)
         job = Namespace(scope=SCOPE, traits=TRAITS, tokens=TOKENS)
         return await claim_room(
-            cast(Tools, tools), cast(Job, job), "north", ()
+            cast(GenerationContext, tools), cast(Job, job), "north", ()
         )
 
     return await asyncio.gather(*(claim(host) for host in range(claims)))
