--- a/src/balsamlift/relay/__init__.py
+++ b/src/balsamlift/relay/__init__.py
@@ -25,10 +25,10 @@
     RunningGeneration,
 )
 from balsamlift.relay._frontend import DEFAULT_CALLER_LIMITS, Frontend
+from balsamlift.relay._header_names import HeaderNames
 from balsamlift.relay._retries import RetryLimits
 from balsamlift.relay._routing import Routing
 from balsamlift.relay._service import Relay, RelaySettings
-from balsamlift.relay._wire import HeaderNames
 
 __all__ = [
     "DEFAULT_CALLER_LIMITS",
--- a/src/balsamlift/relay/_exchange.py
+++ b/src/balsamlift/relay/_exchange.py
@@ -13,10 +13,10 @@
 from balsamlift.peers import Upstream
 from balsamlift.relay._attempt import Attempt
 from balsamlift.relay._connection import ResponseHead, UpstreamConnection
+from balsamlift.relay._header_names import HeaderNames
 from balsamlift.relay._headers import upstream_headers
 from balsamlift.relay._pool import ConnectionPool
 from balsamlift.relay._request import Call
-from balsamlift.relay._wire import HeaderNames
 
 Disposition = Literal["answer", "failure", "not_executed"]
 
--- a/src/balsamlift/relay/_generation_context.py
+++ b/src/balsamlift/relay/_generation_context.py
@@ -12,8 +12,8 @@
 from balsamlift.relay._crash_guard import CrashGuard
 from balsamlift.relay._engines import EngineClient
 from balsamlift.relay._exchange import Exchange
+from balsamlift.relay._header_names import HeaderNames
 from balsamlift.relay._rooms import Rooms
-from balsamlift.relay._wire import HeaderNames
 
 
 @attrs.frozen(kw_only=True)
--- a/src/balsamlift/relay/_headers.py
+++ b/src/balsamlift/relay/_headers.py
@@ -6,8 +6,8 @@
 
 from tornado.httputil import HTTPHeaders
 
+from balsamlift.relay._header_names import HeaderNames
 from balsamlift.relay._request import Call
-from balsamlift.relay._wire import HeaderNames
 
 # Connection-specific headers (RFC 9110, section 7.6.1).
 _HOP_BY_HOP = frozenset(
--- a/src/balsamlift/relay/_needs.py
+++ b/src/balsamlift/relay/_needs.py
@@ -5,7 +5,7 @@
 import attrs
 from tornado.httputil import HTTPHeaders
 
-from balsamlift.relay._wire import HeaderNames
+from balsamlift.relay._header_names import HeaderNames
 
 # A typical answer has this part of the tokens that it may have at most, and
 # its caller's estimate this weight beside it, in logarithms.
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -25,6 +25,7 @@
 from balsamlift.relay._frontend import Frontend
 from balsamlift.relay._generation_context import GenerationContext
 from balsamlift.relay._generations import Generations
+from balsamlift.relay._header_names import HeaderNames
 from balsamlift.relay._pool import ConnectionPool
 from balsamlift.relay._request import (
     Call,
@@ -37,7 +38,6 @@
 from balsamlift.relay._rooms import Rooms
 from balsamlift.relay._routing import Routing, RoutingTable
 from balsamlift.relay._unary import UnaryCalls
-from balsamlift.relay._wire import HeaderNames
 
 log = logger.bind(part="relay")
 
