--- a/tests/_relay_bench.py
+++ b/tests/_relay_helpers.py
@@ -11,7 +11,7 @@
 )
 
 DEADLINE_S = 15.0
-LAST = 9  # event of a stream
+LAST_EVENT_ID = 9
 USAGE = [f"{NAMES.token_usage}: 1000,200", f"{NAMES.length_hint}: 100"]
 
 
@@ -39,7 +39,7 @@
     connection: ReplicaConnection, request: ReplicaRequest
 ) -> None:
     await connection.begin_stream(request)
-    await connection.events(first_event(request), LAST)
+    await connection.events(first_event(request), LAST_EVENT_ID)
     await connection.end_stream()
 
 
--- a/tests/test_relay_cold_starts.py
+++ b/tests/test_relay_cold_starts.py
@@ -6,7 +6,7 @@
 
 import attrs
 import pytest
-from _relay_bench import USAGE, run, stream
+from _relay_helpers import USAGE, run, stream
 from _virtual_time import LoopClock, run_virtual
 
 from balsamlift.peers import Place, Upstream
--- a/tests/test_relay_crash_detector.py
+++ b/tests/test_relay_crash_detector.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable
 
 import attrs
-from _relay_bench import run
+from _relay_helpers import run
 from test_relay_routing import admit, request
 
 from balsamlift.clock import SystemClock
--- a/tests/test_relay_crashes.py
+++ b/tests/test_relay_crashes.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from _relay_bench import USAGE, run
+from _relay_helpers import USAGE, run
 from tornado.httputil import HTTPHeaders
 
 from balsamlift.peers._crash_reports import REPORT_TTL_MS
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -14,7 +14,7 @@
 
 import attrs
 import pytest
-from _relay_bench import (
+from _relay_helpers import (
     DEADLINE_S,
     USAGE,
     hang_midway,
--- a/tests/test_relay_evacuated.py
+++ b/tests/test_relay_evacuated.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from _relay_bench import (
+from _relay_helpers import (
     USAGE,
     first_event,
     hang_midway,
--- a/tests/test_relay_frontend.py
+++ b/tests/test_relay_frontend.py
@@ -4,7 +4,7 @@
 
 import attrs
 import pytest
-from _relay_bench import run
+from _relay_helpers import run
 
 from balsamlift.testing.relay import (
     LIMITS,
--- a/tests/test_relay_generations.py
+++ b/tests/test_relay_generations.py
@@ -3,8 +3,8 @@
 import asyncio
 
 import pytest
-from _relay_bench import (
-    LAST,
+from _relay_helpers import (
+    LAST_EVENT_ID,
     USAGE,
     hang_midway,
     refuse,
@@ -29,7 +29,7 @@
 DISCONNECTING_CALLERS = 400  # the fault occurred for one caller in a hundred
 
 
-def event_stream(last: int = LAST) -> bytes:
+def event_stream(last: int = LAST_EVENT_ID) -> bytes:
     return b"".join(event(number) for number in range(last + 1))
 
 
@@ -172,7 +172,7 @@
     ) -> None:
         await connection.begin_stream(request)
         await connection.events(0, 2)
-        await connection.events(2, LAST)
+        await connection.events(2, LAST_EVENT_ID)
         await connection.end_stream()
 
     async def test() -> None:
--- a/tests/test_relay_homes.py
+++ b/tests/test_relay_homes.py
@@ -6,7 +6,7 @@
 from typing import cast
 
 import pytest
-from _relay_bench import USAGE, run, stream
+from _relay_helpers import USAGE, run, stream
 
 from balsamlift.kernel import Kernel
 from balsamlift.relay import Caller, Directory, Workspace
--- a/tests/test_relay_incarnations.py
+++ b/tests/test_relay_incarnations.py
@@ -7,8 +7,8 @@
 import asyncio
 from collections.abc import Callable
 
-from _relay_bench import (
-    LAST,
+from _relay_helpers import (
+    LAST_EVENT_ID,
     USAGE,
     hang_midway,
     run,
@@ -25,7 +25,7 @@
 
 FIRST_MS = 1_700_000_000_000
 SECOND_MS = FIRST_MS + 2_000
-WHOLE = b"".join(event(number) for number in range(LAST + 1))
+WHOLE = b"".join(event(number) for number in range(LAST_EVENT_ID + 1))
 
 
 async def wait_until_known(world: RelayWorld, started_ms: int) -> None:
--- a/tests/test_relay_leaving_load.py
+++ b/tests/test_relay_leaving_load.py
@@ -8,7 +8,7 @@
 import asyncio
 import math
 
-from _relay_bench import LAST, run
+from _relay_helpers import LAST_EVENT_ID, run
 
 from balsamlift.peers import Upstream
 from balsamlift.relay import (
@@ -29,7 +29,7 @@
     event,
 )
 
-WHOLE = b"".join(event(number) for number in range(LAST + 1))
+WHOLE = b"".join(event(number) for number in range(LAST_EVENT_ID + 1))
 TOKENS = 1_000  # of each generation, and so the time of a copy
 COPY_S = 0.15
 NOTICE_S = 1.5
@@ -69,7 +69,7 @@
         await connection.begin_stream(request)
         if NAMES.resume_source in request.headers:
             first = int(request.headers[NAMES.last_event_id]) + 1
-            await connection.events(first, LAST)
+            await connection.events(first, LAST_EVENT_ID)
             await connection.end_stream()
             return
         await connection.events(0, 4)
--- a/tests/test_relay_unary.py
+++ b/tests/test_relay_unary.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from _relay_bench import refuse, reset, run
+from _relay_helpers import refuse, reset, run
 
 from balsamlift.relay import Caller
 from balsamlift.testing.relay import (
