--- a/src/balsamlift/relay/_admission.py
+++ b/src/balsamlift/relay/_admission.py
@@ -99,7 +99,7 @@
             regions=_allowed_regions(route, workspace),
             priority=priority,
             deadline_s=deadline_s,
-            give_up_s=min(route_deadline_s, deadline_s),
+            timeout_at_s=min(route_deadline_s, deadline_s),
         )
 
     def _deadline_s(self, request: CallerRequest, default_s: float) -> float:
--- a/src/balsamlift/relay/_exchange.py
+++ b/src/balsamlift/relay/_exchange.py
@@ -112,7 +112,7 @@
         self._pool.release(connection)
 
     def _remaining_ms(self, call: Call) -> int:
-        return int((call.give_up_s - self._clock.monotonic()) * 1_000)
+        return int((call.timeout_at_s - self._clock.monotonic()) * 1_000)
 
     def _is_response_to(self, head: ResponseHead, call: Call) -> bool:
         """Return whether a response belongs to a call, by its request id."""
--- a/src/balsamlift/relay/_generations.py
+++ b/src/balsamlift/relay/_generations.py
@@ -106,7 +106,7 @@
         traits = (service.engine if service else None) or DEFAULT_TRAITS
         job = Job(call, need, traits)
         try:
-            async with asyncio.timeout_at(call.give_up_s):
+            async with asyncio.timeout_at(call.timeout_at_s):
                 result = await self._start(job, attempt)
                 if isinstance(result, _Started):
                     text = await self._relay(result, job, responder)
--- a/src/balsamlift/relay/_request.py
+++ b/src/balsamlift/relay/_request.py
@@ -38,7 +38,7 @@
     regions: frozenset[str] | None  # where it may run; None: anywhere
     priority: int  # 0 is served first
     deadline_s: float  # monotonic; the caller waits no longer
-    give_up_s: float  # monotonic; deadline or route timeout, if earlier
+    timeout_at_s: float  # monotonic; deadline or route timeout, if earlier
 
     @property
     def method(self) -> str:
--- a/src/balsamlift/relay/_unary.py
+++ b/src/balsamlift/relay/_unary.py
@@ -64,7 +64,7 @@
         """Respond to the caller and return the outcome for the log."""
         attempt = Attempt(call.is_idempotent)
         try:
-            async with asyncio.timeout_at(call.give_up_s):
+            async with asyncio.timeout_at(call.timeout_at_s):
                 result = await self._fetch_reply(call, attempt)
         except TimeoutError:
             result = timed_out(attempt)
@@ -122,7 +122,7 @@
         loop = asyncio.get_running_loop()
         attempt_deadline_s = None
         if attempt.is_idempotent and attempt.sends + 1 < self._max_sends(call):
-            remaining_s = call.give_up_s - loop.time()
+            remaining_s = call.timeout_at_s - loop.time()
             attempt_deadline_s = (
                 loop.time() + remaining_s * ATTEMPT_TIME_FRACTION
             )
@@ -141,7 +141,7 @@
                 )
             raise
         except TimeoutError as error:
-            if attempt_deadline_s is None or loop.time() >= call.give_up_s:
+            if attempt_deadline_s is None or loop.time() >= call.timeout_at_s:
                 raise
             self._back_off(call, attempt, upstream, "no answer yet")
             raise UpstreamBrokenError(
