--- a/src/balsamlift/relay/_caller_stream.py
+++ b/src/balsamlift/relay/_caller_stream.py
@@ -68,17 +68,13 @@
         """Close the stream; respond with 431 if the head was too large."""
         if isinstance(exc_info, UnsatisfiableReadError) and not self.closed():
             log.bind(status=431, peer=self._peer()).info("head too large")
-            with contextlib.suppress(
-                OSError
-            ):  # logged; the caller has disconnected
+            with contextlib.suppress(OSError):  # caller disconnected; logged
                 self.write_to_fd(memoryview(_closing_response(431)))
         super().close(exc_info)
 
     def _reject_slow_head(self) -> None:
         log.bind(status=408, peer=self._peer()).info("head came too slowly")
-        with contextlib.suppress(
-            OSError
-        ):  # logged; the caller has disconnected
+        with contextlib.suppress(OSError):  # caller disconnected; logged
             self.write_to_fd(memoryview(_closing_response(408)))
         self.close()
 
--- a/src/balsamlift/relay/_connection.py
+++ b/src/balsamlift/relay/_connection.py
@@ -34,7 +34,7 @@
 # Links may lose packets for seconds. A lost packet is retransmitted after
 # 0.2 s, 0.4 s and 0.8 s; after that, the other end is considered dead.
 SILENCE_TIMEOUT_S = 2
-KEEPALIVE_PROBE_S = 1
+KEEPALIVE_INTERVAL_S = 1
 MAX_HEAD_BYTES = 65_536
 MAX_LINE_BYTES = 1_024  # of a chunk size line or a trailer
 READ_BYTES = 65_536
@@ -291,12 +291,12 @@
     """
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_PROBE_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_PROBE_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
         (
             socket.IPPROTO_TCP,
             socket.TCP_KEEPCNT,
-            SILENCE_TIMEOUT_S // KEEPALIVE_PROBE_S,
+            SILENCE_TIMEOUT_S // KEEPALIVE_INTERVAL_S,
         ),
         (
             socket.IPPROTO_TCP,
--- a/src/balsamlift/relay/_engines.py
+++ b/src/balsamlift/relay/_engines.py
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class EngineReport:
-    """State of an engine, as it was about 100 ms before the report."""
+    """State of an engine as it reported it, about 100 ms old."""
 
     runs: list[RunningGeneration]
     is_leaving: bool
--- a/src/balsamlift/relay/_frontend.py
+++ b/src/balsamlift/relay/_frontend.py
@@ -235,8 +235,8 @@
         self._server = HTTPServer(
             self,
             max_header_size=MAX_READ_HEAD_BYTES,
-            max_body_size=1
-            << 40,  # checked in `_RequestReader`, which sends 413
+            # `_RequestReader` checks the limit and responds with 413.
+            max_body_size=1 << 40,
             body_timeout=BODY_TIMEOUT_S,
         )
 
--- a/src/balsamlift/relay/_generation.py
+++ b/src/balsamlift/relay/_generation.py
@@ -295,7 +295,7 @@
         if self._splitter.last_id >= 0:
             extra.append((names.last_event_id, str(self._splitter.last_id)))
         # This is the same execution, stopped on one engine and resumed on
-        # the other, so it has an attempt of its own.
+        # the other, so it is not tracked as a second send of the request.
         attempt = Attempt(is_idempotent=False)
         self._context.balancer.sending(upstream)
         with suppress(
--- a/src/balsamlift/relay/_generations.py
+++ b/src/balsamlift/relay/_generations.py
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen
-class _Started:
+class _StartedGeneration:
     """An engine's response and the memory reserved for the generation."""
 
     reply: Reply
@@ -108,7 +108,7 @@
         try:
             async with asyncio.timeout_at(call.timeout_at_s):
                 result = await self._start(job, attempt)
-                if isinstance(result, _Started):
+                if isinstance(result, _StartedGeneration):
                     text = await self._relay(result, job, responder)
                     upstream = result.holding.upstream.name
                     return Outcome(text, upstream, attempt.sends)
@@ -120,7 +120,9 @@
         responder.refuse(result)
         return Outcome(result.reason, sends=attempt.sends)
 
-    async def _start(self, job: Job, attempt: Attempt) -> _Started | Refusal:
+    async def _start(
+        self, job: Job, attempt: Attempt
+    ) -> _StartedGeneration | Refusal:
         call = job.call
         tried: set[str] = set()
         unreachable = 0
@@ -158,7 +160,7 @@
             finally:
                 unread_prompt.release()
             if isinstance(result, Reply):
-                return _Started(result, holding, backup)
+                return _StartedGeneration(result, holding, backup)
             holding.release()
             backup.release()
             tried.add(holding.upstream.name)
@@ -244,7 +246,7 @@
 
     async def _relay(
         self,
-        started: _Started,
+        started: _StartedGeneration,
         job: Job,
         responder: Responder,
     ) -> str:
@@ -259,7 +261,7 @@
             if not reply.is_success:
                 if reply.head.status != GATEWAY_TIMEOUT:
                     self._context.balancer.saw_failure(reply.upstream.name)
-                return await self._pass_failure(reply, responder)
+                return await self._forward_failure(reply, responder)
             self._context.balancer.saw_success(reply.upstream.name)
             outcome = await generation.relay(reply)
             stats = generation.stats
@@ -279,7 +281,9 @@
             started.holding.release()
             started.backup.release()
 
-    async def _pass_failure(self, reply: Reply, responder: Responder) -> str:
+    async def _forward_failure(
+        self, reply: Reply, responder: Responder
+    ) -> str:
         """Forward an error response of the engine unchanged."""
         try:
             body = await self._context.exchange.read_full_body(
