--- a/src/balsamlift/relay/_routing.py
+++ b/src/balsamlift/relay/_routing.py
@@ -150,7 +150,7 @@
     ) -> None:
         """Read the age of the configuration from `age_s`.
 
-        A configuration older than `most_age_s` may be outdated; without it,
+        A configuration older than `max_age_s` may be outdated; without it,
         age is not considered.
         """
         self._age_source = age_s
