--- a/src/balsamlift/relay/__init__.py
+++ b/src/balsamlift/relay/__init__.py
@@ -1,4 +1,7 @@
-"""Pass requests of callers on to upstreams, whole and at most once."""
+"""Reverse proxy that runs each request at most once.
+
+Requests of routes declared idempotent may be retried.
+"""
 
 from balsamlift.relay._cold_starts import ColdLimits
 from balsamlift.relay._configuration import (
@@ -13,44 +16,44 @@
 )
 from balsamlift.relay._directory import AddressAnswer, Caller, Directory
 from balsamlift.relay._engines import (
-    Copy,
     CopyError,
     CopyRefusedError,
-    EngineCalls,
-    Report,
+    EngineClient,
+    EngineReport,
+    MemoryCopy,
     ReportError,
-    Run,
+    RunningGeneration,
 )
-from balsamlift.relay._frontend import FIRST_LIMITS, Frontend
+from balsamlift.relay._frontend import DEFAULT_CALLER_LIMITS, Frontend
+from balsamlift.relay._header_names import HeaderNames
 from balsamlift.relay._retry_budget import RetryLimits
 from balsamlift.relay._routing import Routing
 from balsamlift.relay._service import Relay, RelaySettings
-from balsamlift.relay._wire import HeaderNames
 
 __all__ = [
-    "FIRST_LIMITS",
+    "DEFAULT_CALLER_LIMITS",
     "AddressAnswer",
     "Caller",
     "CallerLimits",
     "ColdLimits",
     "Configuration",
-    "Copy",
     "CopyError",
     "CopyRefusedError",
     "Directory",
-    "EngineCalls",
+    "EngineClient",
+    "EngineReport",
     "EngineTraits",
     "Frontend",
     "HeaderNames",
+    "MemoryCopy",
     "Relay",
     "RelaySettings",
-    "Report",
     "ReportError",
     "RetryLimits",
     "Route",
     "RouteKind",
     "Routing",
-    "Run",
+    "RunningGeneration",
     "Service",
     "ServiceShare",
     "Workspace",
--- a/src/balsamlift/relay/_backup.py
+++ b/src/balsamlift/relay/_backup.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from balsamlift.peers import Upstream
+from balsamlift.relay._generation_context import GenerationContext
 from balsamlift.relay._job import Job
 from balsamlift.relay._memory_allocator import MemoryReservation
-from balsamlift.relay._tools import Tools
 
 
 class Backup:
@@ -15,7 +15,7 @@
     their generations have been moved.
     """
 
-    def __init__(self, tools: Tools, job: Job) -> None:
+    def __init__(self, tools: GenerationContext, job: Job) -> None:
         """Start without a backup."""
         self._tools = tools
         self._job = job
--- a/src/balsamlift/relay/_tools.py
+++ b/src/balsamlift/relay/_generation_context.py
@@ -1,4 +1,4 @@
-"""What every generation works with."""
+"""Components of the relay that all generations use."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from balsamlift.peers import Upstreams
 from balsamlift.relay._balance import Balancer
 from balsamlift.relay._crash_guard import CrashGuard
-from balsamlift.relay._engines import EngineCalls
+from balsamlift.relay._engines import EngineClient
 from balsamlift.relay._exchange import Exchange
+from balsamlift.relay._header_names import HeaderNames
 from balsamlift.relay._memory_allocator import MemoryAllocator
-from balsamlift.relay._wire import HeaderNames
 
 
 @attrs.frozen(kw_only=True)
-class Tools:
-    """Hold the parts of the relay that generations share."""
+class GenerationContext:
+    """The components of the relay that generations share."""
 
     exchange: Exchange
     balancer: Balancer
     rooms: MemoryAllocator
-    engines: EngineCalls
+    engines: EngineClient
     names: HeaderNames
     metrics: Metrics
     upstreams: Upstreams
--- /dev/null
+++ b/src/balsamlift/relay/_header_names.py
@@ -0,0 +1,26 @@
+"""Names of the HTTP headers that the relay reads and writes."""
+
+from __future__ import annotations
+
+import attrs
+
+
+@attrs.frozen(kw_only=True)
+class HeaderNames:
+    """Header names of a deployment, and its authorization scheme."""
+
+    request_id: str
+    deadline_ms: str
+    signature: str  # proves that a response is the upstream's own
+    workspace: str
+    expected_incarnation: str
+    not_executed: str  # set if the upstream did not run the request
+    priority: str
+    token_usage: str  # prompt tokens and maximum output tokens
+    length_hint: str  # output tokens expected by the caller
+    backup_address: str  # receives the memory of a running request
+    resume_source: str  # "IP:port/handle" of the memory to resume from
+    last_event_id: str
+    auth_scheme: str
+    # Only the relay sets these headers; values from callers are dropped.
+    reserved: frozenset[str]
--- a/src/balsamlift/relay/_link_access.py
+++ b/src/balsamlift/relay/_link_access.py
@@ -9,7 +9,7 @@
 from balsamlift.exceptions import UpstreamError
 from balsamlift.peers import Upstream
 from balsamlift.relay._balance import Balancer, link_key
-from balsamlift.relay._engines import EngineCalls
+from balsamlift.relay._engines import EngineClient
 from balsamlift.relay._termination import TerminationEstimate, queue_position
 
 # Interval between checks whether the link is free.
@@ -35,7 +35,7 @@
     def __init__(
         self,
         balancer: Balancer,
-        engines: EngineCalls,
+        engines: EngineClient,
         source: Upstream,
         request_id: str,
     ) -> None:
@@ -110,7 +110,7 @@
             report = await self._engines.report(self._source)
         except UpstreamError:
             return  # an engine that is gone also ends the stream
-        self.termination.update(report.leaves_s)
+        self.termination.update(report.time_left_s)
         if self._position is not None:
             return  # a later report may still list moved generations
         self._position = queue_position(report.runs, self._request_id)
--- a/src/balsamlift/relay/_move.py
+++ b/src/balsamlift/relay/_move.py
@@ -8,13 +8,13 @@
 
 from balsamlift.exceptions import UpstreamError
 from balsamlift.peers import Upstream
-from balsamlift.relay._engines import Copy, CopyRefusedError
+from balsamlift.relay._engines import CopyRefusedError, MemoryCopy
+from balsamlift.relay._generation_context import GenerationContext
 from balsamlift.relay._job import Job
 from balsamlift.relay._link_access import LinkAccess
 from balsamlift.relay._memory_allocator import MemoryReservation
 from balsamlift.relay._move_reservation import reserve_for_move
 from balsamlift.relay._termination import estimate_copy_s
-from balsamlift.relay._tools import Tools
 
 log = logger.bind(part="generations")
 
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        tools: Tools,
+        tools: GenerationContext,
         job: Job,
         source: Upstream,
     ) -> None:
@@ -49,7 +49,7 @@
             tools.balancer, tools.engines, source, job.request_id
         )
 
-    async def run(self) -> Copy | None:
+    async def run(self) -> MemoryCopy | None:
         """Copy the memory while the engine runs, then stop it and finish.
 
         Stopping closes the engine's stream without an end event, and the
@@ -68,7 +68,7 @@
             except CopyRefusedError as error:
                 self.release()
                 if error.handle:
-                    return Copy(error.handle, self._source, self._source)
+                    return MemoryCopy(error.handle, self._source, self._source)
                 self._log(target, str(error))
                 tried.add(target.name)
             except UpstreamError as error:
@@ -94,7 +94,7 @@
         )
         return self._reservation.upstream if self._reservation else None
 
-    async def _move_to(self, target: Upstream) -> Copy:
+    async def _move_to(self, target: Upstream) -> MemoryCopy:
         loop = asyncio.get_running_loop()
         await self._link_access.wait(self._full_copy_s(target))
         left_s = self._link_access.termination.terminates_s - loop.time()
--- a/src/balsamlift/relay/_move_reservation.py
+++ b/src/balsamlift/relay/_move_reservation.py
@@ -12,9 +12,9 @@
 import asyncio
 from collections.abc import Collection
 
+from balsamlift.relay._generation_context import GenerationContext
 from balsamlift.relay._job import Job
 from balsamlift.relay._memory_allocator import MemoryReservation
-from balsamlift.relay._tools import Tools
 
 # Generations that leave an engine may fill another one further than new ones:
 # they are lost without memory, whereas new ones can be retried. The engine
@@ -31,7 +31,10 @@
 
 
 async def reserve_for_move(
-    tools: Tools, job: Job, near_domain: str, tried: Collection[str]
+    tools: GenerationContext,
+    job: Job,
+    near_domain: str,
+    tried: Collection[str],
 ) -> MemoryReservation | None:
     """Reserve memory that is not overcommitted; None if there is none.
 
@@ -50,7 +53,10 @@
 
 
 async def _reserve_best(
-    tools: Tools, job: Job, near_domain: str, tried: Collection[str]
+    tools: GenerationContext,
+    job: Job,
+    near_domain: str,
+    tried: Collection[str],
 ) -> MemoryReservation | None:
     """Reserve the best engine and wait until other reservations are known."""
     balancer = tools.balancer
--- a/src/balsamlift/relay/_termination.py
+++ b/src/balsamlift/relay/_termination.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 
 from balsamlift.relay._configuration import EngineTraits
-from balsamlift.relay._engines import Run
+from balsamlift.relay._engines import RunningGeneration
 
 # Copies between failure domains take longer.
 OTHER_DOMAIN_FACTOR = 2.0
@@ -39,7 +39,7 @@
     return megabits / traits.link_mbps * factor
 
 
-def queue_position(runs: Sequence[Run], request_id: str) -> int:
+def queue_position(runs: Sequence[RunningGeneration], request_id: str) -> int:
     """Return how many of an engine's runs are moved before this one.
 
     Runs with the most progress per token of memory go first, and those that
@@ -51,7 +51,7 @@
     return ids.index(request_id) if request_id in ids else len(ids)
 
 
-def _sort_key(run: Run) -> tuple[bool, float, str]:
+def _sort_key(run: RunningGeneration) -> tuple[bool, float, str]:
     value = (run.events + TYPICAL_EVENTS) / max(run.tokens, 1)
     return run.events <= SHORT_RUN_EVENTS, -value, run.request_id
 
--- a/src/balsamlift/relay/_token_estimate.py
+++ b/src/balsamlift/relay/_token_estimate.py
@@ -5,7 +5,7 @@
 import attrs
 from tornado.httputil import HTTPHeaders
 
-from balsamlift.relay._wire import HeaderNames
+from balsamlift.relay._header_names import HeaderNames
 
 # A typical answer uses this fraction of its maximum number of tokens. The
 # caller's length hint is combined with it with this weight, on a logarithmic
--- a/tests/test_relay_cold_starts.py
+++ b/tests/test_relay_cold_starts.py
@@ -6,7 +6,7 @@
 
 import attrs
 import pytest
-from _relay_bench import USAGE, run, stream
+from _relay_helpers import USAGE, run, stream
 from _virtual_time import LoopClock, run_virtual
 
 from balsamlift.peers import Place, Upstream
@@ -175,7 +175,7 @@
         cold.cold_ms = 60_000
         async with RelayWorld([cold, warm], cold_limits=LIMITS) as world:
             services = [
-                attrs.evolve(service, cold_per_s=0.0)
+                attrs.evolve(service, cold_requests_per_s=0.0)
                 for service in configuration().services
             ]
             world.configure(services=tuple(services))
--- a/tests/test_relay_leaving_load.py
+++ b/tests/test_relay_leaving_load.py
@@ -8,15 +8,15 @@
 import asyncio
 import math
 
-from _relay_bench import LAST, run
+from _relay_helpers import LAST_EVENT_ID, run
 
 from balsamlift.peers import Upstream
 from balsamlift.relay import (
-    Copy,
     CopyError,
+    EngineReport,
     EngineTraits,
-    Report,
-    Run,
+    MemoryCopy,
+    RunningGeneration,
     Service,
 )
 from balsamlift.testing.relay import (
@@ -29,7 +29,7 @@
     event,
 )
 
-WHOLE = b"".join(event(number) for number in range(LAST + 1))
+WHOLE = b"".join(event(number) for number in range(LAST_EVENT_ID + 1))
 TOKENS = 1_000  # of each generation; determines the duration of a copy
 COPY_S = 0.15
 NOTICE_S = 1.5
@@ -69,7 +69,7 @@
         await connection.begin_stream(request)
         if NAMES.resume_source in request.headers:
             first = int(request.headers[NAMES.last_event_id]) + 1
-            await connection.events(first, LAST)
+            await connection.events(first, LAST_EVENT_ID)
             await connection.end_stream()
             return
         await connection.events(0, 4)
@@ -78,17 +78,19 @@
             await asyncio.sleep(0.005)
         connection.reset()
 
-    async def report(self, upstream: Upstream) -> Report:
+    async def report(self, upstream: Upstream) -> EngineReport:
         """Return the state as of half a second ago."""
         runs = [
-            Run(request_id=name, tokens=TOKENS, events=50)
+            RunningGeneration(request_id=name, tokens=TOKENS, events=50)
             for name in [*self.ended, *self.stopped]
         ]
         now_s = asyncio.get_running_loop().time()
         taken_s = now_s - REPORT_LAG_S
         knows = taken_s >= self.noticed_s
-        leaves_s = self.noticed_s + NOTICE_S - taken_s if knows else None
-        return Report(runs=runs, is_leaving=knows, leaves_s=leaves_s)
+        time_left_s = self.noticed_s + NOTICE_S - taken_s if knows else None
+        return EngineReport(
+            runs=runs, is_leaving=knows, time_left_s=time_left_s
+        )
 
     async def copy(
         self,
@@ -97,7 +99,7 @@
         target: Upstream,
         *,
         stop: bool,
-    ) -> Copy:
+    ) -> MemoryCopy:
         """Copy what is new, after the copies before it."""
         async with self.link:
             is_first = request_id not in self.copied
@@ -107,7 +109,7 @@
         self.copied.add(request_id)
         if stop:
             self.stopped[request_id].set()
-        return Copy(f"handle-{request_id}", source, target)
+        return MemoryCopy(f"handle-{request_id}", source, target)
 
 
 async def leave(running: int, ended: int) -> list[CallerAnswer]:
@@ -119,7 +121,7 @@
         engine = LeavingEngine(world, [f"e{n}" for n in range(ended)])
         world.engines.report = engine.report  # type: ignore[method-assign]
         world.engines.copy = engine.copy  # type: ignore[method-assign]
-        service = Service(name="model", most_connections=100, engine=TRAITS)
+        service = Service(name="model", max_connections=100, engine=TRAITS)
         world.configure(services=(service,))
         first.behave = second.behave = engine.behave
         calls = [
--- a/tests/test_relay_move_reservation.py
+++ b/tests/test_relay_move_reservation.py
@@ -14,6 +14,7 @@
 from balsamlift.peers import Peers, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer
+from balsamlift.relay._generation_context import GenerationContext
 from balsamlift.relay._job import Job
 from balsamlift.relay._memory_allocator import (
     MemoryAllocator,
@@ -24,7 +25,6 @@
     reserve_for_move,
 )
 from balsamlift.relay._placement_policy import DEFAULT_POLICY
-from balsamlift.relay._tools import Tools
 
 TRAITS = EngineTraits(memory_tokens=10_000, can_move=True)
 TOKENS = 1_000
@@ -55,7 +55,7 @@
         )
         job = Namespace(scope=SCOPE, traits=TRAITS, tokens=TOKENS)
         return await reserve_for_move(
-            cast(Tools, tools), cast(Job, job), "north", ()
+            cast(GenerationContext, tools), cast(Job, job), "north", ()
         )
 
     return await asyncio.gather(*(reserve(host) for host in range(hosts)))
