--- a/src/balsamlift/platform/__init__.py
+++ b/src/balsamlift/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: it translates and decides nothing."""
+"""Adapter to the users' platform: it translates and makes no decisions."""
 
 from balsamlift.platform._daemon import PlatformDaemon, run
 from balsamlift.platform._settings import NodeSettings, load_node_settings
--- a/src/balsamlift/platform/_daemon.py
+++ b/src/balsamlift/platform/_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon on the platform: the product's services and the adapter."""
+"""Daemon of one host on the platform, with all of its services."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     ConfigurationWatch,
     HostRegistration,
     UpstreamsSource,
-    offer,
+    offer_configuration,
 )
 from balsamlift.platform._web import PlatformServer
 from balsamlift.relay import Directory, Frontend, Relay, Routing
@@ -34,35 +34,40 @@
 
 log = logger.bind(part="daemon")
 
-# Callers may keep a list three times as long as told: a host that leaves is
-# out of all lists before its grace is over.
-KEEP_MS = 2_000
-# Left of the grace for ending what still runs, and the process itself.
+# Callers may cache addresses for three times as long as told. A leaving host
+# is then in no cache any more before its grace period ends.
+ADDRESS_TTL_MS = 2_000
+# Part of the grace period reserved for ending the remaining requests and the
+# process.
 GRACE_MARGIN_S = 0.4
-MOST_STORE_CALLS = 16  # at once; each handle takes 4.3 KB from the start
+MAX_STORE_CALLS = 16  # concurrent; each preallocated handle takes 4.3 KB
 
 
 class PlatformDaemon:
-    """Hold the services of one host on the platform."""
+    """Run the services of one host on the platform."""
 
     def __init__(self, node: NodeSettings, clock: Clock) -> None:
-        """Make every service; those with addresses listen from here on."""
+        """Create every service; the frontend and peers begin to listen."""
         self._node = node
         self._clock = clock
-        self._keep_ms = min(KEEP_MS, int(node.most_keep_s * 1_000))
-        settings = node.product_settings()
+        self._address_ttl_ms = min(
+            ADDRESS_TTL_MS, int(node.max_address_ttl_s * 1_000)
+        )
+        settings = node.core_settings()
         rng = random.Random()
         self.kernel = Kernel()
         timeline = Timeline(
             settings.host, clock, settings.limits.timeline_events
         )
-        http = HttpClient(most_calls=MOST_STORE_CALLS, clock=clock)
+        http = HttpClient(most_calls=MAX_STORE_CALLS, clock=clock)
         store = Store(node.store_address, http, clock)
         self._routing = routing = Routing(clock)
         self.frontend = Frontend(node.callers_address, clock)
-        self._listed = UpstreamsSource(store, clock, node.list_pace)
-        self.upstreams = Upstreams(settings, clock, http, self._listed)
-        self._configuration = ConfigurationWatch(
+        self._upstreams_source = UpstreamsSource(store, clock, node.list_pace)
+        self.upstreams = Upstreams(
+            settings, clock, http, self._upstreams_source
+        )
+        self._configuration_watch = ConfigurationWatch(
             store, clock, node.configuration_pace, self.upstreams.evacuations
         )
         self.peers = Peers(
@@ -79,20 +84,25 @@
             written_s=0.0,
         )
         registration = HostRegistration(store, clock, settings.host, record)
-        self._configuration.follower.on_restored(registration.renew)
-        self._listed.upstreams.on_restored(self.upstreams.suspend_removals)
+        self._configuration_watch.follower.on_restored(registration.renew)
+        self._upstreams_source.upstreams_follower.on_restored(
+            self.upstreams.suspend_removals
+        )
         services = (
             OperatorsServer(settings.operators_address),
             timeline,
             Metrics(),
             routing,
             self.frontend,
-            self._configuration,
+            self._configuration_watch,
             registration,
             self.upstreams,
             self.peers,
             Directory(
-                settings.failure_domain, self._keep_ms, rng, node.regions
+                settings.failure_domain,
+                self._address_ttl_ms,
+                rng,
+                node.regions,
             ),
             self.relay,
             PlatformServer(node.directory_address, node.readiness_address),
@@ -100,21 +110,24 @@
         for service in services:
             self.kernel.register(service)
         routing.set_age_source(
-            lambda: self._configuration.follower.age_s, node.apply_ms / 1_000
+            lambda: self._configuration_watch.follower.age_s,
+            node.apply_ms / 1_000,
         )
         self.peers.on_version(routing.note_version)
         self.peers.sharing.connect(
             lambda: routing.encoded,
-            lambda data: offer(routing, data, "peer"),
+            lambda data: offer_configuration(routing, data, "peer"),
         )
 
     def _share_reading(self) -> None:
-        """Have few hosts read the store for all, once there are many."""
+        """Let a few hosts read the store for all if there are many hosts."""
         sources = Sources(
-            configuration=self._configuration.follower,
-            listed=self._listed.upstreams,
+            configuration=self._configuration_watch.follower,
+            listed=self._upstreams_source.upstreams_follower,
             copy=self._routing,
-            offer=lambda data: offer(self._routing, data, "peer"),
+            offer=lambda data: offer_configuration(
+                self._routing, data, "peer"
+            ),
             is_settled=lambda: self.upstreams.is_settled,
             evacuations=self.upstreams.evacuations,
             note_version=lambda version: self._routing.note_version(
@@ -128,7 +141,7 @@
         self.peers.records.connect(sources)
 
     def _snapshot_records(self, end: int) -> list[Record]:
-        """Return the known state as the operators' records before `end`."""
+        """Return the known state as operators' records before `end`."""
         evacuated = self.upstreams.evacuations.domains
         return encode_operator_records(self._routing.encoded, evacuated, end)
 
@@ -144,24 +157,31 @@
         ).info("started")
 
     async def leave(self) -> None:
-        """Serve what runs, and callers with an older list, then stop."""
+        """Announce that this host leaves, and serve requests until none runs.
+
+        Callers with cached addresses may send requests meanwhile. Returns
+        before the grace period ends, even if requests still run.
+        """
         log.bind(running=len(self.frontend.tasks)).info("leaving")
         self.peers.announce_leaving()
-        bound_s = self._node.grace_s - GRACE_MARGIN_S
-        self.relay.leave(bound_s)
+        drain_timeout_s = self._node.grace_s - GRACE_MARGIN_S
+        self.relay.leave(drain_timeout_s)
         try:
-            async with asyncio.timeout(bound_s):
-                await asyncio.sleep(3 * self._keep_ms / 1_000)
+            async with asyncio.timeout(drain_timeout_s):
+                await asyncio.sleep(3 * self._address_ttl_ms / 1_000)
                 await self.frontend.wait_idle()
         except TimeoutError:
             log.bind(running=len(self.frontend.tasks)).warning(
-                "requests still run at the end of the grace"
+                "requests still running at the end of the grace period"
             )
         log.info("stopped")
 
 
 def run(file: str | None = None) -> None:
-    """Run one daemon until SIGTERM, then leave within the grace."""
+    """Run one daemon until SIGTERM, then stop within the grace period.
+
+    `file` is the path of the settings file; see `load_node_settings`.
+    """
     node = load_node_settings(file)
     sink = LogSink(sys.stdout.fileno())
     logs.configure(json=True, host=node.host, sink=sink)
@@ -170,17 +190,17 @@
 
 async def _run(node: NodeSettings) -> None:
     daemon = PlatformDaemon(node, SystemClock())
-    leave = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, leave.set)
-    loop.add_signal_handler(signal.SIGHUP, _note_reload)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    loop.add_signal_handler(signal.SIGHUP, _log_ignored_reload)
     await daemon.start()
-    await leave.wait()
+    await stop_requested.wait()
     await daemon.leave()
 
 
-def _note_reload() -> None:
-    # Addresses cannot change while a process runs; all else that changes
-    # comes through the store.
-    log.info("settings file changed; read at the next start")
+def _log_ignored_reload() -> None:
+    # Addresses cannot change while the process runs; all other changes come
+    # through the store.
+    log.info("settings file not reloaded, it is read at the next start")
--- a/src/balsamlift/platform/_decode.py
+++ b/src/balsamlift/platform/_decode.py
@@ -1,4 +1,4 @@
-"""Records of the platform, decoded into the product's own types."""
+"""Decode the platform's records into types of the other packages."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RecordError(PlatformError):
-    """Tell that a record is not what its key says."""
+    """Indicate that a record is invalid for its key."""
 
 
 class _Share(msgspec.Struct):
@@ -40,7 +40,7 @@
     TimeoutMs: int
     TargetLatencyMs: int  # to the first event on a stream
     Priority: int = 0
-    Service: str = ""  # or else TrafficSplit
+    Service: str = ""  # unused if TrafficSplit is set
     TrafficSplit: list[_Share] = []
     MaxAttempts: int = 1
     Public: bool = False
@@ -48,8 +48,10 @@
 
 
 class _Engine(msgspec.Struct):
+    """Represent the properties of a service's engines."""
+
     KvCapacityTokens: int
-    KvTokenBytes: int = 0  # of memory, for one token
+    KvTokenBytes: int = 0  # memory for one token
     LinkMbps: float = 0.0
     Moves: bool = False
     Backups: bool = False
@@ -58,18 +60,21 @@
 class _Service(msgspec.Struct):
     Name: str
     MaxConnections: int = 0
-    ColdPerS: float | None = None  # requests that one tolerates while cold
+    ColdPerS: float | None = None  # requests that a cold upstream tolerates
     Engine: _Engine | None = None
 
 
 class _Limits(msgspec.Struct):
     MaxBodyBytes: int
-    MaxHeaderBytes: int = FIRST_LIMITS.head_bytes  # of the whole head
+    # Of the request line and all headers.
+    MaxHeaderBytes: int = FIRST_LIMITS.head_bytes
     HeaderTimeoutMs: int = FIRST_LIMITS.head_timeout_ms
     IdleTimeoutMs: int = FIRST_LIMITS.idle_timeout_ms
 
 
 class _Tenant(msgspec.Struct):
+    """Represent a workspace and the keys of its callers."""
+
     Name: str
     ApiKeys: list[str] = []
     Priority: int | None = None
@@ -77,6 +82,8 @@
 
 
 class _Manifest(msgspec.Struct):
+    """Represent the configuration record that operators write."""
+
     Version: int
     Routes: list[_Route]
     Services: list[_Service]
@@ -85,55 +92,60 @@
 
 
 class _Upstream(msgspec.Struct):
-    """Hold an entry of the list.
+    """Represent an upstream's entry in the list.
 
-    Each upstream writes all of these fields: an entry that lacks one is by
-    another writer.
+    Each upstream writes all fields without a default: an entry that lacks one
+    comes from another writer.
     """
 
     Service: str
     Address: str
     Zone: str
-    Version: str  # of its software
+    Version: str  # of the software
     Slots: int
     LifecycleState: str
-    Sequence: int  # of its own counts, from its start on
-    ColdRemainingMs: float  # for how long it is slow after its start
-    born: int = 0  # wall time of its start; not all tell it
+    Sequence: int  # counted by the upstream since its start
+    ColdRemainingMs: float  # for which it is still slow after its start
+    born: int = 0  # wall time of its start; not written by all upstreams
 
 
 class HostRecord(msgspec.Struct, frozen=True):
-    """Hold what a host of ours tells the others through the store."""
+    """Represent a host's entry, by which other hosts find it."""
 
     callers_address: str
     operators_address: str
     peers_address: str
     failure_domain: str
-    written_s: float  # wall time, to leave out hosts long gone
+    written_s: float  # wall time; outdated entries are ignored
 
 
-_KINDS: dict[str, RouteKind] = {
+_ROUTE_KINDS: dict[str, RouteKind] = {
     "idempotent": "idempotent",
     "non_idempotent": "non_idempotent",
     "streaming": "stream",
 }
-_STATES = {"ready": "live", "draining": "leaving"}
-# An entry takes some 300 bytes; one of megabytes is not worth decoding.
-MOST_ENTRY_BYTES = 65_536
-MOST_ID_CHARACTERS = 200
+_UPSTREAM_STATES = {"ready": "live", "draining": "leaving"}
+# A valid entry takes about 300 bytes; one of megabytes is not decoded.
+MAX_ENTRY_BYTES = 65_536
+MAX_NAME_CHARACTERS = 200
 EVACUATION_VALUE = b"{}"  # any value: `decode_evacuations` ignores it
 
 
 def decode_configuration(data: bytes) -> Configuration:
-    """Return the configuration in a record; raise `RecordError`."""
+    """Return the configuration in a record.
+
+    Raises `RecordError` if the record is invalid.
+    """
     try:
         manifest = msgspec.json.decode(data, type=_Manifest)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise RecordError(f"no configuration: {error}") from error
+        raise RecordError(f"invalid configuration: {error}") from error
     return Configuration(
         version=manifest.Version,
-        routes=tuple(_route(route) for route in manifest.Routes),
-        services=tuple(_service(service) for service in manifest.Services),
+        routes=tuple(_convert_route(route) for route in manifest.Routes),
+        services=tuple(
+            _convert_service(service) for service in manifest.Services
+        ),
         workspaces=tuple(
             Workspace(
                 name=tenant.Name,
@@ -153,9 +165,10 @@
 
 
 def decode_evacuations(values: Mapping[str, bytes]) -> list[str]:
-    """Return the failure domains that the operators' records evacuate.
+    """Return the failure domains that operators have evacuated.
 
-    A record is there for as long as the evacuation lasts, whatever it holds.
+    An evacuation lasts for as long as its record exists; the value of the
+    record is ignored.
     """
     return sorted(
         key.removeprefix(EVACUATION_PREFIX)
@@ -167,10 +180,10 @@
 def encode_operator_records(
     configuration: bytes, evacuated: Iterable[str], end: int
 ) -> list[Record]:
-    """Return the operators' records that decode to this state.
+    """Encode a configuration and evacuations as the operators' records.
 
-    All have the offset just before `end`, so that any later record of the
-    same key replaces them.
+    All records get the offset just before `end`, so that any later record of
+    the same key replaces them.
     """
     keys = [EVACUATION_PREFIX + domain for domain in evacuated]
     return [
@@ -180,29 +193,29 @@
 
 
 def decode_upstream(key: str, data: bytes) -> ListEntry:
-    """Return the entry of an upstream; raise `RecordError`.
+    """Return the entry of an upstream; raise `RecordError` if invalid.
 
-    Others may write to the list too: what is not in every respect the entry
-    of an upstream names none.
+    The list may have other writers: an entry is rejected unless all of
+    its known fields are valid.
     """
-    if len(data) > MOST_ENTRY_BYTES:
-        raise RecordError(f"no upstream: an entry of {len(data)} bytes")
+    if len(data) > MAX_ENTRY_BYTES:
+        raise RecordError(f"upstream entry too large: {len(data)} bytes")
     try:
         upstream = msgspec.json.decode(data, type=_Upstream)
         split_address(upstream.Address)
     except (msgspec.MsgspecError, RecursionError, AddressError) as error:
-        raise RecordError(f"no upstream: {error}") from error
-    if not _is_id(key):
-        raise RecordError("no upstream: not the name of one")
-    if upstream.LifecycleState not in _STATES or upstream.born < 0:
-        raise RecordError("no upstream: a state or start that is none")
+        raise RecordError(f"invalid upstream entry: {error}") from error
+    if not _is_valid_upstream_name(key):
+        raise RecordError("invalid upstream entry: key is not a valid name")
+    if upstream.LifecycleState not in _UPSTREAM_STATES or upstream.born < 0:
+        raise RecordError("invalid upstream entry: state or start time")
     return ListEntry(
         name=key,
         role=UPSTREAM_ROLE,
         pool=upstream.Service,
         address=upstream.Address,
         failure_domain=upstream.Zone,
-        state=_STATES[upstream.LifecycleState],
+        state=_UPSTREAM_STATES[upstream.LifecycleState],
         kind="service",
         started_ms=upstream.born,
         cold_ms=max(upstream.ColdRemainingMs, 0.0),
@@ -210,22 +223,22 @@
     )
 
 
-def _is_id(key: str) -> bool:
-    """Tell whether a key can name an upstream in a header."""
+def _is_valid_upstream_name(key: str) -> bool:
+    """Return whether a key is valid as an upstream's name in a header."""
     is_visible = key.isascii() and key.isprintable() and " " not in key
-    return is_visible and 0 < len(key) <= MOST_ID_CHARACTERS
+    return is_visible and 0 < len(key) <= MAX_NAME_CHARACTERS
 
 
 def decode_host(data: bytes) -> HostRecord:
-    """Return what a host of ours wrote; raise `RecordError`."""
+    """Return the entry of a host; raise `RecordError` if invalid."""
     try:
         return msgspec.json.decode(data, type=HostRecord)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise RecordError(f"no host: {error}") from error
+        raise RecordError(f"invalid host entry: {error}") from error
 
 
 def host_entry(key: str, record: HostRecord) -> ListEntry:
-    """Return the list's entry for a host of ours."""
+    """Return a host's record as an entry of the list of upstreams."""
     return ListEntry(
         name=key,
         role=ENTRY_ROLE,
@@ -236,14 +249,14 @@
     )
 
 
-def _route(route: _Route) -> Route:
+def _convert_route(route: _Route) -> Route:
     shares = route.TrafficSplit or [_Share(route.Service, 1)]
     return Route(
         name=route.Name,
         host=route.Hostname,
         path_prefix=route.PathPrefix,
-        # An unknown kind is taken as the strictest.
-        kind=_KINDS.get(route.RouteType, "non_idempotent"),
+        # An unknown type is handled as the most restrictive one.
+        kind=_ROUTE_KINDS.get(route.RouteType, "non_idempotent"),
         services=tuple(
             ServiceShare(service=share.Service, weight=share.Weight)
             for share in shares
@@ -257,7 +270,7 @@
     )
 
 
-def _service(service: _Service) -> Service:
+def _convert_service(service: _Service) -> Service:
     engine = service.Engine
     return Service(
         name=service.Name,
--- a/src/balsamlift/platform/_engines.py
+++ b/src/balsamlift/platform/_engines.py
@@ -1,4 +1,4 @@
-"""Orders to engines on the platform: moving a running generation."""
+"""HTTP calls to engines: reports, and copies of running generations."""
 
 from __future__ import annotations
 
@@ -16,51 +16,53 @@
     Run,
 )
 
-# 1.3 GB of a long report take 0.5 s between failure domains; several in a
-# row wait for each other.
-MOVE_MS = 4_000
-REPORT_MS = 300
-CONNECT_MS = 300
+# The 1.3 GB of a long report take 0.5 s to copy between failure domains, and
+# several copies in a row wait for each other.
+MOVE_TIMEOUT_MS = 4_000
+REPORT_TIMEOUT_MS = 300
+CONNECT_TIMEOUT_MS = 300
 _OK = 200
-_NO_ROOM = 503
+_SERVICE_UNAVAILABLE = 503
 
 
 class _Report(msgspec.Struct):
-    """Hold the part of an engine's report that is used."""
+    """Represent the fields in use of an engine's report."""
 
-    # Each: id of the request, tokens in memory, events made, priority.
+    # Request id, tokens in memory, events generated, priority of each.
     Runs: list[tuple[str, int, int, int]] = []
     LifecycleState: str = ""
     born: int = 0  # wall time of its start
-    leaves_ms: float | None = None  # until it is gone, once it leaves
+    leaves_ms: float | None = None  # until it stops, if it is leaving
 
 
-class _Moved(msgspec.Struct):
-    """Hold the engine's answer to a move."""
+class _MoveAnswer(msgspec.Struct):
+    """Represent an engine's answer to a request to copy a generation."""
 
     Handle: str = ""
     Created: int = 0  # events generated so far
 
 
 class PlatformEngines:
-    """Order engines over HTTP."""
+    """Call engines over HTTP."""
 
     def __init__(self, http: HttpClient) -> None:
-        """Call through `http`."""
+        """Send calls through `http`."""
         self._http = http
 
     async def report(self, upstream: Upstream) -> Report:
-        """Return an engine's report; raise `ReportError`."""
+        """Return an engine's report; raise `ReportError` if there is none."""
         try:
             answer = await self._http.call(
                 "GET",
                 f"http://{upstream.address}{REPORT_PATH}",
-                timeout_ms=REPORT_MS,
-                connect_ms=CONNECT_MS,
+                timeout_ms=REPORT_TIMEOUT_MS,
+                connect_ms=CONNECT_TIMEOUT_MS,
             )
             report = answer.decode(_Report)
         except (CallError, msgspec.MsgspecError, RecursionError) as error:
-            raise ReportError(upstream.name, f"no report: {error}") from error
+            raise ReportError(
+                upstream.name, f"cannot get report: {error}"
+            ) from error
         return Report(
             runs=[
                 Run(request_id=request_id, tokens=tokens, events=events)
@@ -68,7 +70,7 @@
             ],
             is_leaving=report.LifecycleState not in ("", "ready"),
             started_ms=report.born,
-            leaves_s=_seconds(report.leaves_ms),
+            leaves_s=_ms_to_s(report.leaves_ms),
         )
 
     async def copy(
@@ -79,7 +81,11 @@
         *,
         stop: bool,
     ) -> Copy:
-        """Copy the memory of a running generation; raise `CopyError`."""
+        """Copy the memory of a running generation from `source` to `target`.
+
+        With `stop`, the generation stops first. Raises `CopyRefusedError` if
+        there is no room, and `CopyError` for any other failure.
+        """
         body: dict[str, str | bool] = {
             "InstanceId": request_id,
             "To": target.address,
@@ -91,28 +97,30 @@
                 "POST",
                 f"http://{source.address}{MOVE_PATH}",
                 body,
-                timeout_ms=MOVE_MS,
-                connect_ms=CONNECT_MS,
+                timeout_ms=MOVE_TIMEOUT_MS,
+                connect_ms=CONNECT_TIMEOUT_MS,
                 headers={"Content-Type": "application/json"},
             )
         except CallError as error:
             raise CopyError(source.name, error.message) from error
-        moved = _decode(source, answer)
+        moved = _decode_move_answer(source, answer)
         if answer.status == _OK:
             return Copy(moved.Handle, source, target)
-        if answer.status == _NO_ROOM:
+        if answer.status == _SERVICE_UNAVAILABLE:
             raise CopyRefusedError(source.name, "no room", moved.Handle)
         raise CopyError(source.name, f"status {answer.status}")
 
 
-def _seconds(value_ms: float | None) -> float | None:
+def _ms_to_s(value_ms: float | None) -> float | None:
     return None if value_ms is None else value_ms / 1_000
 
 
-def _decode(source: Upstream, answer: Answer) -> _Moved:
+def _decode_move_answer(source: Upstream, answer: Answer) -> _MoveAnswer:
     if not answer.body:
-        return _Moved()
+        return _MoveAnswer()
     try:
-        return msgspec.json.decode(answer.body, type=_Moved)
+        return msgspec.json.decode(answer.body, type=_MoveAnswer)
     except msgspec.MsgspecError as error:
-        raise CopyError(source.name, "no answer to a move") from error
+        raise CopyError(
+            source.name, "invalid answer to a copy request"
+        ) from error
--- a/src/balsamlift/platform/_names.py
+++ b/src/balsamlift/platform/_names.py
@@ -1,4 +1,4 @@
-"""Names on the platform's wire."""
+"""Header names, topics, keys and paths of the platform's protocols."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     auth_scheme="Token",
     reserved=frozenset(
         {
-            "authorization",  # upstreams are never shown a key
+            "authorization",  # never forwarded: upstreams must not see keys
             "x-deadline-ms",
             "x-tenant",
             "x-expected-instance",
@@ -36,11 +36,11 @@
 
 CONFIGURATION_TOPIC = "keyed.op"
 CONFIGURATION_KEY = "config"
-EVACUATION_PREFIX = "evacuate/"  # in the same topic; a failure domain follows
+EVACUATION_PREFIX = "evacuate/"  # same topic; a failure domain follows
 UPSTREAMS_TOPIC = "keyed.servers"
-HOSTS_TOPIC = "keyed.hosts"  # our own
+HOSTS_TOPIC = "keyed.hosts"  # entries of Balsamlift's own hosts
 
-# In all answers of the store; incremented by each restore from a copy.
+# In all answers of the store; incremented when it is restored from a copy.
 ERA_HEADER = "Store-Era"
 
 READY_PATH = "/readyz"
--- a/src/balsamlift/platform/_settings.py
+++ b/src/balsamlift/platform/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process as the platform writes them."""
+"""Settings file of a process, as the platform writes it."""
 
 from __future__ import annotations
 
@@ -23,111 +23,119 @@
 
 FILE_VARIABLE = "BALSAMLIFT_NODE_FILE"
 
-# The port under `metrics` in the deploy file, which cannot name one of a day.
+# The port under `metrics` in the deploy file, which cannot name a port that
+# varies between days.
 METRICS_PORT = 9464
 
-# News of load age by this much before others see them.
+# Load reports are up to this old when other hosts receive them.
 HEARTBEAT_MS = 250
 SILENCE_MS = 1_500  # six heartbeats
-# Each host hears from all others up to this many.
+# With at most this many peers, each host exchanges messages with all of them.
 FAN_OUT = 12
-# Calls to the store are priced: few hosts read the list, and tell the others
-# what leaves.
+# Calls to the store are billed: only a few hosts read the list of upstreams,
+# and they report departures to the others.
 LIST_PAUSE_MS = 200
 LIST_READERS = 5
-FOLLOW_PART = 0.75  # of the time in which an upstream that leaves still works
+# The other hosts read the list themselves at intervals of this fraction of the
+# time for which a leaving upstream still works.
+FOLLOW_FRACTION = 0.75
 LISTED_POOL = "listed"
 
-# Of the time until a change has to be in force, kept for noticing that an
-# answer is missing (1 s), a pause of 0.2 s, a fresh connection and the read
-# itself, of which a busy host takes 0.2 s.
+# Part of the time until a change has to be in force that is reserved for
+# detecting a missing answer (1 s), a pause of 0.2 s, a new connection and the
+# read itself, of which a busy host takes 0.2 s.
 SILENCE_MARGIN_MS = 1_500
-LEAST_READ_WAIT_MS = 1_000
+MIN_READ_WAIT_MS = 1_000
 
 
-# A read of the list waits this long at the store where all hosts read. A
-# connection that has gone silent is noticed one second later.
+# How long the store holds a read of the list open for changes if every host
+# reads it. A silent connection is detected one second later.
 LIST_WAIT_MS = 1_000
-# Among many hosts, most are told what a few read. A host reads by itself this
-# long before a change has to be in force: time for its read, also from a slow
-# store whose history is gone.
-OWN_READ_MS = 550
-# What a host is told is older than what the asked one knows by up to this: it
-# asks each second, and two hosts in a row may not answer.
-TOLD_LATE_MS = 1_200
-# With shorter reads than this, hosts that read for others call too often.
-LEAST_SHARED_WAIT_MS = 750
+# With many hosts, a few read the store and pass the records on. Another host
+# reads the store itself this long before a change has to be in force: enough
+# for its read, also from a slow store that has dropped its history.
+DIRECT_READ_MS = 550
+# Records reach a host up to this long after the host that read them: it asks
+# once a second, and two hosts in a row may not answer.
+MAX_SHARING_DELAY_MS = 1_200
+# With shorter reads, hosts that read for others call the store too often.
+MIN_SHARED_WAIT_MS = 750
 
 
 @attrs.frozen(kw_only=True)
 class NodeSettings:
-    """Hold what the platform tells one process."""
+    """Hold the settings that the platform gives one process."""
 
     host: str
     failure_domain: str
     region: str
     ip: str
-    first_port: int  # of those free for traffic between hosts
+    first_port: int  # of the ports for traffic between hosts
     callers_address: str
     readiness_address: str
     directory_address: str
     store_address: str
     grace_s: float  # from SIGTERM to SIGKILL
-    most_keep_s: float  # that a caller may keep a list of addresses
-    drain_ms: float  # that an upstream still works after it said it leaves
-    apply_ms: float  # in which a new configuration has to be in force
-    contact_ms: float  # out of touch so long ago, a host need not follow
+    max_address_ttl_s: float  # for which a caller may cache addresses
+    drain_ms: float  # for which an upstream still works once it is leaving
+    apply_ms: float  # within which a new configuration has to be in force
+    # How long a host may be out of contact with the store before it is exempt
+    # from `apply_ms`.
+    contact_ms: float
     retries: RetryLimits
-    cold_limits: ColdLimits | None  # None: no bound is in force
+    cold_limits: ColdLimits | None  # None: no limit
     regions: dict[str, str]  # by failure domain
 
     @property
     def read_wait_ms(self) -> int:
-        """Return how long a read for a configuration may wait.
+        """Return how long a read of the configuration may wait.
 
-        A read that is sent just before the store falls silent, or its
-        connection does, is lost. That has to be noticed, and the
-        configuration read, when the host counts as in touch again: changes
-        of meanwhile have to be in force then.
+        A read sent just before the store or its connection goes silent is
+        lost. The loss has to be detected and the configuration read again
+        before the host counts as in contact again, because changes made
+        meanwhile have to be in force then.
         """
         wait_ms = int(self.contact_ms - SILENCE_MARGIN_MS)
-        return max(wait_ms, LEAST_READ_WAIT_MS)
+        return max(wait_ms, MIN_READ_WAIT_MS)
 
     @property
-    def _most_age_ms(self) -> int:
-        """Return how old what a host was told may be."""
-        return int(min(self.apply_ms, self.drain_ms)) - OWN_READ_MS
+    def _max_age_ms(self) -> int:
+        """Return the maximum age of records received from other hosts."""
+        return int(min(self.apply_ms, self.drain_ms)) - DIRECT_READ_MS
 
     @property
     def _shared_wait_ms(self) -> int:
-        """Return how long reads for others may wait: less is told late."""
-        return self._most_age_ms - TOLD_LATE_MS
+        """Return how long reads for others may wait.
+
+        Less than the maximum age, because sharing delays the records.
+        """
+        return self._max_age_ms - MAX_SHARING_DELAY_MS
 
     @property
     def can_share_reading(self) -> bool:
-        """Tell whether bounds leave time to be told instead of to read."""
-        return self._shared_wait_ms >= LEAST_SHARED_WAIT_MS
+        """Return whether the limits leave time to share records."""
+        return self._shared_wait_ms >= MIN_SHARED_WAIT_MS
 
     @property
     def configuration_pace(self) -> Pace:
-        """Return how the configuration is followed."""
+        """Return the limits for following the configuration."""
         wait_ms = self.read_wait_ms
         if self.can_share_reading:
             wait_ms = min(wait_ms, self._shared_wait_ms)
-        return Pace(wait_ms=wait_ms, most_age_s=self._most_age_ms / 1_000)
+        return Pace(wait_ms=wait_ms, most_age_s=self._max_age_ms / 1_000)
 
     @property
     def list_pace(self) -> Pace:
-        """Return how the list of upstreams is followed."""
+        """Return the limits for following the list of upstreams."""
         wait_ms = LIST_WAIT_MS
         if self.can_share_reading:
-            # Between two reads there is a pause, up to a fifth longer.
+            # With jitter, the pause between two reads is up to a fifth longer.
             wait_ms = self._shared_wait_ms - int(LIST_PAUSE_MS * 1.25)
             wait_ms = min(self.read_wait_ms, wait_ms)
-        return Pace(wait_ms=wait_ms, most_age_s=self._most_age_ms / 1_000)
+        return Pace(wait_ms=wait_ms, most_age_s=self._max_age_ms / 1_000)
 
-    def product_settings(self) -> Settings:
-        """Return the product's own settings."""
+    def core_settings(self) -> Settings:
+        """Return these settings as the `Settings` of the core services."""
         return Settings(
             host=self.host,
             failure_domain=self.failure_domain,
@@ -141,9 +149,10 @@
                 hosts_address=self.store_address,
                 hosts_poll_ms=LIST_PAUSE_MS,
                 hosts_readers=LIST_READERS,
-                hosts_follow_ms=int(self.drain_ms * FOLLOW_PART),
+                hosts_follow_ms=int(self.drain_ms * FOLLOW_FRACTION),
             ),
-            # The list tells the kind of each upstream; settings name a pool.
+            # The list gives the kind of each upstream; the settings have to
+            # contain a pool.
             pools={LISTED_POOL: PoolSettings(kind="service")},
             peers=PeerSettings(
                 heartbeat_ms=HEARTBEAT_MS,
@@ -165,9 +174,9 @@
 
 
 def load_node_settings(file: str | None = None) -> NodeSettings:
-    """Return the settings in a file; raise `SettingsError`.
+    """Return the settings in a file; raise `SettingsError` if invalid.
 
-    Without a file, the one that the platform's variable names.
+    `file` defaults to the path in the environment variable `FILE_VARIABLE`.
     """
     name = file or os.environ.get(FILE_VARIABLE, "")
     if not name:
@@ -182,38 +191,38 @@
 
 
 def decode_node_settings(fields: dict[str, Any], file: str) -> NodeSettings:
-    """Return the settings in a table; raise `SettingsError`.
+    """Return the settings in a table; raise `SettingsError` if invalid.
 
-    The platform adds fields as it grows: unknown ones are left out.
+    Unknown fields are ignored, as new versions of the platform add fields.
     """
-    read = _Reader(fields, file)
+    reader = _FieldReader(fields, file)
     return NodeSettings(
-        host=read.text("NodeName"),
-        failure_domain=read.text("Zone"),
-        region=read.text("Region"),
-        ip=read.text("Ip"),
-        first_port=read.first_port(),
-        callers_address=read.text("Listen", "Frontend"),
-        readiness_address=read.text("Listen", "Readiness"),
-        directory_address=read.text("Listen", "Directory"),
-        store_address=read.text("Platform", "Address"),
-        grace_s=read.number("Bounds", "GraceS"),
-        most_keep_s=read.number("Bounds", "ttl_max_s"),
-        drain_ms=read.number("Bounds", "DrainMs"),
-        apply_ms=read.number("Bounds", "ConfigApplyMs"),
-        contact_ms=read.number("Bounds", "ContactMs"),
+        host=reader.text("NodeName"),
+        failure_domain=reader.text("Zone"),
+        region=reader.text("Region"),
+        ip=reader.text("Ip"),
+        first_port=reader.first_port(),
+        callers_address=reader.text("Listen", "Frontend"),
+        readiness_address=reader.text("Listen", "Readiness"),
+        directory_address=reader.text("Listen", "Directory"),
+        store_address=reader.text("Platform", "Address"),
+        grace_s=reader.number("Bounds", "GraceS"),
+        max_address_ttl_s=reader.number("Bounds", "ttl_max_s"),
+        drain_ms=reader.number("Bounds", "DrainMs"),
+        apply_ms=reader.number("Bounds", "ConfigApplyMs"),
+        contact_ms=reader.number("Bounds", "ContactMs"),
         retries=RetryLimits(
-            ratio=read.number("Bounds", "RetryBudgetRatio"),
-            extra=int(read.number("Bounds", "BudgetExtraRetries")),
-            window_s=read.number("Bounds", "BudgetWindowS"),
+            ratio=reader.number("Bounds", "RetryBudgetRatio"),
+            extra=int(reader.number("Bounds", "BudgetExtraRetries")),
+            window_s=reader.number("Bounds", "BudgetWindowS"),
         ),
-        cold_limits=read.cold_limits(),
-        regions=read.regions(),
+        cold_limits=reader.cold_limits(),
+        regions=reader.regions(),
     )
 
 
-class _Reader:
-    """Read fields of nested tables, and name the one that is wrong."""
+class _FieldReader:
+    """Read fields of nested tables; errors give the path of the field."""
 
     def __init__(self, fields: dict[str, Any], file: str) -> None:
         self._fields = fields
@@ -228,7 +237,9 @@
     def text(self, *path: str) -> str:
         value = self._find(path)
         if not isinstance(value, str) or not value:
-            raise SettingsError(self._file, ".".join(path), "a text")
+            raise SettingsError(
+                self._file, ".".join(path), "a non-empty string"
+            )
         return value
 
     def number(self, *path: str) -> float:
@@ -240,11 +251,13 @@
     def first_port(self) -> int:
         value = self._find(("InternalPorts",))
         if not isinstance(value, list) or not value:
-            raise SettingsError(self._file, "InternalPorts", "two ports")
+            raise SettingsError(
+                self._file, "InternalPorts", "a list of two ports"
+            )
         return int(value[0])
 
     def cold_limits(self) -> ColdLimits | None:
-        """Return the bound on cold upstreams, where one is in force."""
+        """Return the limits for cold upstreams, or None if not configured."""
         if self._find(("Bounds", "ColdOverage")) is None:
             return None
         return ColdLimits(
@@ -253,7 +266,7 @@
         )
 
     def regions(self) -> dict[str, str]:
-        """Return the region of each failure domain, this host's at least."""
+        """Return the regions by failure domain, including this host's."""
         value = self._find(("Zones",))
         zones = value if isinstance(value, dict) else {}
         own = {self.text("Zone"): self.text("Region")}
--- a/src/balsamlift/platform/_store.py
+++ b/src/balsamlift/platform/_store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store."""
+"""HTTP client of the platform's store of keyed records."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 log = logger.bind(part="store")
 
-# Limits the wait for the first byte and each pause within an answer.
+# Timeout for the first byte and for each pause within an answer.
 SILENCE_MS = 1_000
 CONNECT_MS = 500
 # Answers of at least this size are logged with their duration. An answer
-# whose first record is this large is reported when it begins.
+# whose first record is this large is reported as soon as it begins.
 LARGE_ANSWER_BYTES = 50_000
 _OK = 200
 _GONE = 410
-_NUMBERS = struct.Struct(">QQ")
-_LENGTH = struct.Struct(">I")
+_READ_HEADER = struct.Struct(">QQ")  # end of the topic, first offset kept
+_RECORD_LENGTH = struct.Struct(">I")
 _DIGITS = re.compile(r"\d+")
 
 
 class _Item(msgspec.Struct):
-    """Hold one record as the store lists it."""
+    """Represent a record on a page of the newest records."""
 
     Key: str
     Value: str  # base64
@@ -42,7 +42,7 @@
 
 
 class _Page(msgspec.Struct):
-    """Hold one page of the newest records."""
+    """Represent a page of the newest records."""
 
     Items: list[_Item]
     HasMore: bool
@@ -50,19 +50,19 @@
 
 
 class Store:
-    """Read and append records; every call has its own bound on silence."""
+    """Read and append records; each call fails when the store is silent."""
 
     def __init__(
         self, address: str, http: HttpClient, clock: Clock | None = None
     ) -> None:
-        """Call the store at `address`, "IP:port"."""
+        """Send calls to the store at `address`, "IP:port"."""
         self._url = f"http://{address}"
         self._http = http
         self._clock = clock or SystemClock()
-        # Last failure of each topic, without digits: a different time or size
-        # in the message is not logged as a new kind of failure.
+        # Last failure of each topic, without digits, so that a message with a
+        # different time or size is not logged as a new kind of failure.
         self._failure_kinds: dict[str, str] = {}
-        self.era = 0  # latest received; 0: the store reports none
+        self.era = 0  # latest received; 0 if the store reports none
 
     async def newest(self, topic: str) -> Newest:
         """Return the newest record of each key; raise `StoreError`."""
@@ -78,9 +78,12 @@
             try:
                 page = msgspec.json.decode(answer.body, type=_Page)
             except (msgspec.MsgspecError, RecursionError) as error:
-                raise StoreError(f"no page of records: {error}") from error
-            records += [_listed_record(item) for item in page.Items]
-            # Pages are no snapshot: what changes meanwhile is read again.
+                raise StoreError(
+                    f"invalid page of records: {error}"
+                ) from error
+            records += [_decode_item(item) for item in page.Items]
+            # Pages are not a snapshot: return the end offset of the first one,
+            # so that the caller reads changes made since then again.
             end = page.EndOffset if end is None else end
             era = self.era if era is None else era
             if era != self.era:
@@ -96,13 +99,13 @@
         wait_ms: int,
         on_large_answer: Callable[[int], None] | None = None,
     ) -> Newest:
-        """Return the records from `start` on, waiting for one.
+        """Return the records from `start` on; wait up to `wait_ms` for one.
 
         Calls `on_large_answer` with the offset after the last record in the
         store as soon as an answer begins whose first record is large.
 
-        Raises `HistoryLostError` when some of them are gone, else
-        `StoreError`.
+        Raises `HistoryLostError` if the store no longer has all of them, and
+        `StoreError` for any other failure.
         """
         query = {
             "Topic": topic,
@@ -110,15 +113,17 @@
             "From": str(start),
             "WaitMs": str(wait_ms),
         }
-        detector = _LargeAnswerDetector(start, on_large_answer or _ignore_end)
+        detector = _LargeAnswerDetector(
+            start, on_large_answer or _ignore_large_answer
+        )
         answer = await self._read("/log-read", query, wait_ms, detector.feed)
-        return _decode_read(answer.body, start, self.era)
+        return _decode_read_answer(answer.body, start, self.era)
 
     async def append(self, topic: str, key: str, value: bytes) -> None:
-        """Append a keyed record; raise `StoreError`."""
+        """Append a keyed record; raise `StoreError` if that fails."""
         name = key.encode()
         content = bytes([len(name)]) + name + value
-        body = _LENGTH.pack(len(content)) + content
+        body = _RECORD_LENGTH.pack(len(content)) + content
         path = "/log-append"
         query = {"Topic": topic, "part": "0"}
         call = self._http.call(
@@ -152,25 +157,27 @@
     async def _await_answer(
         self, call: Awaitable[Answer], path: str, query: dict[str, str]
     ) -> Answer:
-        """Await a call and return its answer; raise `StoreError`.
+        """Return the answer of a call; raise `StoreError` if it failed.
 
-        Raises `HistoryLostError` when the records asked for are gone.
+        Raises `HistoryLostError` if the requested records are gone.
         """
         sent_s = self._clock.monotonic()
         try:
             answer = await call
         except CallError as error:
             kind = _DIGITS.sub("", error.reason)
-            self._note(query["Topic"], error.message, kind)
+            self._track_availability(query["Topic"], error.message, kind)
             raise StoreError(error.message) from error
         self._update_era(answer.headers.get(ERA_HEADER), query["Topic"])
         if answer.status == _GONE:
             raise HistoryLostError(path)
         if answer.status != _OK:
             status = f"status {answer.status}"
-            self._note(query["Topic"], f"{path}: {status}", status)
+            self._track_availability(
+                query["Topic"], f"{path}: {status}", status
+            )
             raise StoreError(f"{path}: status {answer.status}")
-        self._note(query["Topic"])
+        self._track_availability(query["Topic"])
         if len(answer.body) >= LARGE_ANSWER_BYTES:
             took_s = self._clock.monotonic() - sent_s
             log.bind(
@@ -192,7 +199,7 @@
         era = int(text) if text is not None and text.isdecimal() else -1
         if era < self.era:
             message = f"stale answer: era {text}, latest is {self.era}"
-            self._note(topic, message, "stale answer")
+            self._track_availability(topic, message, "stale answer")
             raise StoreError(message)
         if self.era and era > self.era:
             log.bind(era=era, era_before=self.era).warning(
@@ -200,54 +207,59 @@
             )
         self.era = era
 
-    def _note(self, topic: str, trouble: str = "", kind: str = "") -> None:
-        """Log when a topic is lost, fails in another way, or is back.
+    def _track_availability(
+        self, topic: str, failure: str = "", kind: str = ""
+    ) -> None:
+        """Log when a topic fails, fails in another way, or recovers.
 
-        The store may serve some partitions and not others.
+        Topics are tracked one by one: the store may serve some partitions
+        and not others.
         """
         if kind == self._failure_kinds.get(topic, ""):
             return
-        was_lost = bool(self._failure_kinds.pop(topic, ""))
+        was_unavailable = bool(self._failure_kinds.pop(topic, ""))
         if not kind:
-            log.bind(topic=topic).info("store is back")
+            log.bind(topic=topic).info("store available again")
             return
         self._failure_kinds[topic] = kind
-        log.bind(topic=topic, reason=trouble).warning(
-            "store still lost" if was_lost else "store lost"
+        log.bind(topic=topic, reason=failure).warning(
+            "store still unavailable"
+            if was_unavailable
+            else "store unavailable"
         )
 
 
-def _ignore_end(end: int) -> None:
+def _ignore_large_answer(end: int) -> None:
     del end
 
 
 class _LargeAnswerDetector:
-    """Detect a large answer by the length of its first record."""
+    """Detect a large answer from the length of its first record."""
 
     def __init__(
         self, start: int, on_large_answer: Callable[[int], None]
     ) -> None:
-        """Expect the answer to a read from `start` on."""
+        """Detect the answer to a read that begins at offset `start`."""
         self._start = start
         self._on_large_answer = on_large_answer
         self._header = b""
 
     def feed(self, chunk: bytes) -> None:
         """Process a received chunk; call `on_large_answer` at most once."""
-        size = _NUMBERS.size + _LENGTH.size
+        size = _READ_HEADER.size + _RECORD_LENGTH.size
         if len(self._header) >= size:
             return
         self._header += chunk[: size - len(self._header)]
         if len(self._header) < size:
             return
-        end, _ = _NUMBERS.unpack_from(self._header)
-        (length,) = _LENGTH.unpack_from(self._header, _NUMBERS.size)
+        end, _ = _READ_HEADER.unpack_from(self._header)
+        (length,) = _RECORD_LENGTH.unpack_from(self._header, _READ_HEADER.size)
         if end > self._start and length >= LARGE_ANSWER_BYTES:
             self._on_large_answer(end)
 
 
-def _listed_record(item: _Item) -> Record:
-    """Return a record of a page; a value that cannot be read stays so."""
+def _decode_item(item: _Item) -> Record:
+    """Return a record of a page; keep a value as is if it is not base64."""
     try:
         value = base64.b64decode(item.Value)
     except ValueError:
@@ -255,27 +267,27 @@
     return Record(item.Key, value, item.Offset)
 
 
-def _decode_read(body: bytes, start: int, era: int = 0) -> Newest:
-    """Return the records of a read and the offset after the last."""
+def _decode_read_answer(body: bytes, start: int, era: int = 0) -> Newest:
+    """Return the complete records of an answer and the offset after them."""
     try:
-        topic_end, _ = _NUMBERS.unpack_from(body)
+        topic_end, _ = _READ_HEADER.unpack_from(body)
         records: list[Record] = []
-        at = _NUMBERS.size
-        while at + _LENGTH.size <= len(body):
-            (length,) = _LENGTH.unpack_from(body, at)
-            at += _LENGTH.size
-            content = body[at : at + length]
+        position = _READ_HEADER.size
+        while position + _RECORD_LENGTH.size <= len(body):
+            (length,) = _RECORD_LENGTH.unpack_from(body, position)
+            position += _RECORD_LENGTH.size
+            content = body[position : position + length]
             if len(content) != length:
-                break  # cut at the limit of a call: read again from there
-            at += length
-            records.append(_decode_keyed(content, start + len(records)))
+                break  # truncated at the size limit: the next read begins here
+            position += length
+            records.append(_decode_record(content, start + len(records)))
     except struct.error as error:
-        raise StoreError(f"no records: {error}") from error
+        raise StoreError(f"invalid answer to a read: {error}") from error
     return Newest(records, start + len(records), era, topic_end)
 
 
-def _decode_keyed(content: bytes, offset: int) -> Record:
-    """Return a record, whatever its bytes: others come after it."""
+def _decode_record(content: bytes, offset: int) -> Record:
+    """Return a record; never fail, as valid records may come after it."""
     size = content[0] if content else 0
     key = content[1 : 1 + size].decode(errors="replace")
     return Record(key, content[1 + size :] or None, offset)
--- a/src/balsamlift/platform/_watch.py
+++ b/src/balsamlift/platform/_watch.py
@@ -1,4 +1,4 @@
-"""Follow the records of operators, upstreams and our own hosts."""
+"""Follow configuration, upstreams and hosts in the platform's store."""
 
 from __future__ import annotations
 
@@ -44,41 +44,42 @@
 
 T = TypeVar("T")
 
-# After a call that failed, and twice as long after each more. Calls that are
-# refused are priced too.
+# Delay after a failed call, doubled after each further failure. Rejected calls
+# are billed too.
 RETRY_MS = 200.0
-RETRY_MOST_MS = 800.0
-# An entry can wait: a host that starts meanwhile finds others, or us by them.
-ENTRY_RETRY_MOST_MS = 4_000.0
-# Hosts tell one another who lives: an entry only has to lead one that starts
-# to some host that does. It is written anew after a third of its life.
+MAX_RETRY_MS = 800.0
+# Writing this host's entry is less urgent: a host that starts meanwhile finds
+# this one through the others.
+MAX_ENTRY_RETRY_MS = 4_000.0
+# Hosts exchange membership among themselves: an entry only has to lead a
+# starting host to one live host. It is renewed after a third of its lifetime.
 HOST_RENEWAL_S = 200.0
 HOST_LIFETIME_S = 600.0
 HOSTS_POLL_S = 10.0
 
 
 class ConfigurationWatch:
-    """Offer each configuration and evacuation that operators write."""
+    """Follow the operators' topic and apply its records."""
 
     name = "configuration_watch"
 
     def __init__(
         self, store: Store, clock: Clock, pace: Pace, evacuations: Evacuations
     ) -> None:
-        """Follow the topic of operators at that pace."""
+        """Follow the operators' topic with the limits of `pace`."""
         self._evacuations = evacuations
         self.follower = Follower(store, CONFIGURATION_TOPIC, clock, pace)
         self._clock = clock
-        self._back_off = BackOff(None, RETRY_MS, RETRY_MOST_MS)
+        self._back_off = BackOff(None, RETRY_MS, MAX_RETRY_MS)
         self._task: asyncio.Task[None] | None = None
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to follow."""
+        """Start reading in the background."""
         self._routing = kernel.find("routing", Routing)
         self._task = asyncio.create_task(self._keep_reading())
 
     async def stop(self) -> None:
-        """End following."""
+        """Stop reading."""
         await end_task(self._task)
 
     async def _keep_reading(self) -> None:
@@ -87,9 +88,10 @@
             try:
                 await self.follower.follow(wait_ms)
             except StoreError:
-                # Logged by the store as it was lost. Until it answers again,
-                # a read waits for nothing: one that is sent just before the
-                # store comes back would be missed for as long as it may wait.
+                # The store has logged the failure. Until it answers again,
+                # reads do not wait for new records: the loss of a read sent
+                # just before the store recovers would only be detected after
+                # its waiting time.
                 wait_ms = 0
                 await self._clock.sleep(self._back_off.failed())
                 continue
@@ -99,7 +101,7 @@
             self._offer_evacuations(values)
             data = values.get(CONFIGURATION_KEY)
             if data is not None:
-                offer(self._routing, data, "store")
+                offer_configuration(self._routing, data, "store")
             else:
                 await self._clock.sleep(RETRY_MS / 1_000)
 
@@ -112,8 +114,11 @@
             self._evacuations.offer(news, "store", age_ms=0)
 
 
-def offer(routing: Routing, data: bytes, source: str) -> None:
-    """Offer a configuration as operators wrote it."""
+def offer_configuration(routing: Routing, data: bytes, source: str) -> None:
+    """Decode a configuration record and pass it to `routing`.
+
+    `source` is logged: the store, or a peer that passed the record on.
+    """
     if data == routing.encoded:
         return
     began_s = routing.clock.monotonic()
@@ -128,22 +133,25 @@
 
 
 class _Decoded(Generic[T]):
-    """Decode each value once, however often the list is read."""
+    """Decode records, and reuse the results of unchanged ones."""
 
     def __init__(self, decode: Callable[[str, bytes], T]) -> None:
-        """Decode with `decode`, which raises `RecordError`."""
+        """Decode with `decode`, which raises `RecordError` if it fails."""
         self._decode = decode
-        self._read: dict[str, tuple[bytes, T | None]] = {}
+        self._cache: dict[str, tuple[bytes, T | None]] = {}
 
     def update(self, values: dict[str, bytes]) -> list[T]:
-        """Return what the values say, without those that say nothing."""
-        self._read = {
-            key: self._look(key, data) for key, data in values.items()
+        """Return the decoded values, leaving out invalid ones."""
+        self._cache = {
+            key: self._decode_or_reuse(key, data)
+            for key, data in values.items()
         }
-        return [item for _, item in self._read.values() if item is not None]
+        return [item for _, item in self._cache.values() if item is not None]
 
-    def _look(self, key: str, data: bytes) -> tuple[bytes, T | None]:
-        before = self._read.get(key)
+    def _decode_or_reuse(
+        self, key: str, data: bytes
+    ) -> tuple[bytes, T | None]:
+        before = self._cache.get(key)
         if before is not None and before[0] == data:
             return before
         try:
@@ -154,99 +162,107 @@
 
 
 class UpstreamsSource:
-    """Read upstreams and our own hosts from the store, as one list."""
+    """Read upstreams and hosts from the store as one list."""
 
     def __init__(self, store: Store, clock: Clock, pace: Pace) -> None:
-        """Follow both topics; upstreams at that pace."""
-        self.upstreams = Follower(store, UPSTREAMS_TOPIC, clock, pace)
-        self._hosts = Follower(store, HOSTS_TOPIC, clock, pace)
+        """Follow both topics with the limits of `pace`."""
+        self.upstreams_follower = Follower(store, UPSTREAMS_TOPIC, clock, pace)
+        self._hosts_follower = Follower(store, HOSTS_TOPIC, clock, pace)
         self._decoded_upstreams = _Decoded(decode_upstream)
         self._decoded_hosts = _Decoded(
             lambda key, data: (key, decode_host(data))
         )
         self._clock = clock
         self._wait_ms: int | None = None
-        self._hosts_due_s = 0.0
-        self._hosts_back_off = BackOff(None, RETRY_MS, RETRY_MOST_MS)
+        self._next_hosts_read_s = 0.0
+        self._hosts_back_off = BackOff(None, RETRY_MS, MAX_RETRY_MS)
 
     async def read(self) -> list[ListEntry] | None:
-        """Return all entries, or None when nothing has changed."""
+        """Return all entries, or None if nothing has changed.
+
+        Raises `HostsUnavailableError` if the upstreams cannot be read.
+        """
         try:
-            changed = await self.upstreams.follow(self._wait_ms)
+            changed = await self.upstreams_follower.follow(self._wait_ms)
         except StoreError as error:
-            self._wait_ms = 0  # until it answers, see `ConfigurationWatch`
+            self._wait_ms = 0  # until it answers; see `ConfigurationWatch`
             raise HostsUnavailableError(error.message) from error
         self._wait_ms = None
         changed |= await self._read_hosts()
         if not changed:
             return None
-        upstreams = self._decoded_upstreams.update(self.upstreams.values())
+        upstreams = self._decoded_upstreams.update(
+            self.upstreams_follower.values()
+        )
         return [*upstreams, *self._host_entries()]
 
     async def _read_hosts(self) -> bool:
-        """Read our own hosts when that is due; tell whether any changed.
+        """Read the hosts if that is due; return whether any has changed.
 
-        The store may serve one topic and not the other: without news of
-        hosts, those of upstreams still count. Hosts tell one another who
-        they are: of many, only those that read for all look for hosts that
-        no other has heard of.
+        A failure is ignored: the store may serve one topic and not the
+        other, and changes of upstreams still have to be returned. As hosts
+        exchange membership among themselves, only those that read the
+        upstreams for others look for hosts that no peer knows of.
         """
-        is_known = self._hosts.end is not None
-        if is_known and not self.upstreams.reads:
+        is_known = self._hosts_follower.end is not None
+        if is_known and not self.upstreams_follower.reads:
             return False
-        if self._clock.monotonic() < self._hosts_due_s:
+        if self._clock.monotonic() < self._next_hosts_read_s:
             return False
         try:
-            changed = await self._hosts.read(0)
+            changed = await self._hosts_follower.read(0)
         except StoreError:
-            # Logged by the store as it was lost.
+            # The store has logged the failure.
             pause_s = self._hosts_back_off.failed()
-            self._hosts_due_s = self._clock.monotonic() + pause_s
+            self._next_hosts_read_s = self._clock.monotonic() + pause_s
             return False
         self._hosts_back_off.succeeded()
-        self._hosts_due_s = self._clock.monotonic() + HOSTS_POLL_S
+        self._next_hosts_read_s = self._clock.monotonic() + HOSTS_POLL_S
         return changed
 
     def _host_entries(self) -> list[ListEntry]:
         oldest_s = self._clock.now().timestamp() - HOST_LIFETIME_S
         return [
             host_entry(key, record)
-            for key, record in self._decoded_hosts.update(self._hosts.values())
+            for key, record in self._decoded_hosts.update(
+                self._hosts_follower.values()
+            )
             if record.written_s >= oldest_s
         ]
 
 
 class HostRegistration:
-    """Write this host's entry, so that the others find it."""
+    """Keep this host's entry in the store, where other hosts find it."""
 
     name = "host_registration"
 
     def __init__(
         self, store: Store, clock: Clock, host: str, record: HostRecord
     ) -> None:
-        """Write `record` under the host's name."""
+        """Write `record` with the host's name as its key."""
         self._store = store
         self._clock = clock
         self._host = host
         self._record = record
-        self._back_off = BackOff(None, RETRY_MS, ENTRY_RETRY_MOST_MS)
+        self._back_off = BackOff(None, RETRY_MS, MAX_ENTRY_RETRY_MS)
         self._renewal_requested = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
     def renew(self) -> None:
-        """Write the entry without waiting for the next renewal.
+        """Write the entry now instead of at the next scheduled renewal.
 
-        A restore of the store from an older copy can lose the entry.
+        Needed after the store was restored from an older copy, which may
+        lack the entry.
         """
         self._renewal_requested.set()
 
     async def start(self, kernel: Kernel) -> None:
-        """Write the entry and keep it fresh."""
+        """Write the entry and renew it in the background."""
         del kernel
         self._task = asyncio.create_task(self._keep_writing())
 
     async def stop(self) -> None:
-        """Let the entry expire."""
+        """Stop renewing the entry, so that it expires."""
         await end_task(self._task)
 
     async def _keep_writing(self) -> None:
--- a/src/balsamlift/platform/_web.py
+++ b/src/balsamlift/platform/_web.py
@@ -1,4 +1,4 @@
-"""Answers to callers who ask where to connect, and to the platform."""
+"""HTTP endpoints for address lookups and the readiness check."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class AddressesHandler(JsonHandler):
-    """Answer where callers should connect."""
+    """Return the addresses that a caller should connect to."""
 
     def initialize(self, directory: Directory) -> None:
-        """Ask `directory`."""
+        """Answer from `directory`."""
         self._directory = directory
 
     def get(self) -> None:
-        """Answer with addresses, or 503 when no host is ready."""
+        """Send addresses, or status 503 if no host is ready."""
         caller = Caller(
             failure_domain=self.get_query_argument("Zone", ""),
             region=self.get_query_argument("Region", ""),
@@ -40,29 +40,29 @@
 
 
 class ReadyHandler(RequestHandler):
-    """Answer whether this host takes requests."""
+    """Return whether this host accepts requests."""
 
     def initialize(self, directory: Directory) -> None:
-        """Ask `directory`."""
+        """Answer from `directory`."""
         self._directory = directory
 
     def get(self) -> None:
-        """Answer 200 or 503."""
+        """Send status 200 if this host is ready, else 503."""
         self.set_status(200 if self._directory.is_ready else 503)
 
 
 class PlatformServer:
-    """Serve the two addresses that the platform asks for."""
+    """Serve both endpoints on the directory and readiness addresses."""
 
     name = "platform_server"
 
     def __init__(self, directory_address: str, readiness_address: str) -> None:
-        """Bind both."""
+        """Store both addresses; `start` binds them."""
         self._addresses = (directory_address, readiness_address)
         self._servers: list[HTTPServer] = []
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to answer."""
+        """Bind both addresses and serve."""
         arguments = {"directory": kernel.find("directory", Directory)}
         application = Application(
             [
@@ -78,7 +78,7 @@
             self._servers.append(server)
 
     async def stop(self) -> None:
-        """Close both."""
+        """Stop listening and close all connections."""
         for server in self._servers:
             server.stop()
             await server.close_all_connections()
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon as a process: serve, follow, reload, leave."""
+"""Test the daemon as a process: requests, reload and shutdown."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
 
 
 def settings_text(store_address: str) -> str:
-    """Return a settings file as the platform writes it."""
+    """Return the content of a settings file of the platform."""
     lines = [
         'NodeName = "edge-north-1"',
         'Zone = "north"',
@@ -54,32 +54,34 @@
     return "\n".join(lines)
 
 
-def manifest() -> bytes:
+def encode_manifest() -> bytes:
     route = {**MANIFEST["Routes"][0], "RouteType": "non_idempotent"}
     route |= {"Hostname": HOST, "PathPrefix": "/a/", "Service": "plain"}
     return json.dumps({**MANIFEST, "Routes": [route]}).encode()
 
 
-def entry(replica: ReplicaStandIn) -> bytes:
+def encode_upstream_entry(replica: ReplicaStandIn) -> bytes:
     fields = {**ENTRY, "Service": "plain", "Address": replica.address}
     return json.dumps(fields).encode()
 
 
-class World:
-    """The daemon, a store and one upstream."""
+class Deployment:
+    """A daemon process with a fake store and one upstream."""
 
     def __init__(self) -> None:
         self.store = KeyedStore()
         self.replica = ReplicaStandIn("i-1", "plain", HEADERS)
 
-    async def start(self, folder: Path) -> None:
+    async def start(self, directory: Path) -> None:
         await self.store.start()
         await self.replica.start()
         self.store.topic(CONFIGURATION_TOPIC).append(
-            CONFIGURATION_KEY, manifest()
+            CONFIGURATION_KEY, encode_manifest()
         )
-        self.store.topic(UPSTREAMS_TOPIC).append("i-1", entry(self.replica))
-        file = folder / "settings.toml"
+        self.store.topic(UPSTREAMS_TOPIC).append(
+            "i-1", encode_upstream_entry(self.replica)
+        )
+        file = directory / "settings.toml"
         file.write_text(settings_text(self.store.address))
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -99,7 +101,7 @@
         await self.store.stop()
 
     async def get(self, name: str, path: str) -> int:
-        """Return the status of a GET; 0 where nobody listens."""
+        """Return the status of a GET; 0 if the connection fails."""
         try:
             answer = await self.request(name, f"GET {path} HTTP/1.1")
         except OSError:
@@ -131,80 +133,84 @@
         return [json.loads(line) for line in text.decode().splitlines()]
 
 
-def run(test: Callable[[World], Awaitable[None]], folder: Path) -> None:
+def run(
+    test: Callable[[Deployment], Awaitable[None]], directory: Path
+) -> None:
     async def main() -> None:
-        world = World()
+        deployment = Deployment()
         try:
             async with asyncio.timeout(DEADLINE_S):
-                await world.start(folder)
-                await test(world)
+                await deployment.start(directory)
+                await test(deployment)
         finally:
-            await world.stop()
+            await deployment.stop()
 
     asyncio.run(main())
 
 
-def test_serves_and_shows_itself(tmp_path: Path) -> None:
-    async def test(world: World) -> None:
-        answer = await world.call("r1")
+def test_serves_requests_addresses_and_metrics(tmp_path: Path) -> None:
+    async def test(deployment: Deployment) -> None:
+        answer = await deployment.call("r1")
         assert (answer.status, answer.body) == (200, b"done")
-        (arrived,) = world.replica.arrivals
+        (arrived,) = deployment.replica.arrivals
         assert arrived.headers[HEADERS.workspace] == "t-1"
-        found = await world.request(
+        addresses = await deployment.request(
             "Directory", f"GET /resolution?Name={HOST}&Zone=north HTTP/1.1"
         )
-        assert json.loads(found.body) == {
+        assert json.loads(addresses.body) == {
             "Addresses": [f"{IP}:{PORTS['Frontend']}"],
-            "TtlS": 1,  # what the platform allows at most
+            "TtlS": 1,  # the maximum set by the platform
         }
-        metrics = await world.request("metrics", "GET /metrics HTTP/1.1")
+        metrics = await deployment.request("metrics", "GET /metrics HTTP/1.1")
         assert b"relay_non_idempotent_ms_count 1" in metrics.body
-        world.process.send_signal(signal.SIGHUP)
-        assert (await world.call("r2")).status == 200
+        deployment.process.send_signal(signal.SIGHUP)
+        assert (await deployment.call("r2")).status == 200
 
     run(test, tmp_path)
 
 
-def test_leaves_within_its_grace_and_cuts_nothing_off(tmp_path: Path) -> None:
-    go_on = asyncio.Event()
+def test_shutdown_completes_requests_within_grace_period(
+    tmp_path: Path,
+) -> None:
+    release = asyncio.Event()
 
-    async def slow(
+    async def answer_when_released(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
-        await go_on.wait()
+        await release.wait()
         await connection.answer(request, b"late")
 
-    async def test(world: World) -> None:
-        world.replica.behave = slow
-        running = asyncio.create_task(world.call("r1"))
-        while not world.replica.arrivals:
+    async def test(deployment: Deployment) -> None:
+        deployment.replica.behave = answer_when_released
+        running = asyncio.create_task(deployment.call("r1"))
+        while not deployment.replica.arrivals:
             await asyncio.sleep(0.01)
-        world.process.send_signal(signal.SIGTERM)
-        while await world.get("Readiness", "/readyz") == 200:
+        deployment.process.send_signal(signal.SIGTERM)
+        while await deployment.get("Readiness", "/readyz") == 200:
             await asyncio.sleep(0.01)
-        # Callers may still hold this host's address.
-        late = asyncio.create_task(world.call("r2"))
-        while len(world.replica.arrivals) < 2:
+        # Callers may still have this host's address in their cache.
+        late = asyncio.create_task(deployment.call("r2"))
+        while len(deployment.replica.arrivals) < 2:
             await asyncio.sleep(0.01)
-        go_on.set()
+        release.set()
         for answer in (await running, await late):
             assert (answer.status, answer.body) == (200, b"late")
             assert answer.headers["Connection"] == "close"
-        assert await world.process.wait() == 0
-        lines = await world.log_lines()
+        assert await deployment.process.wait() == 0
+        lines = await deployment.log_lines()
         messages = [str(line["message"]) for line in lines]
         for expected in ("started", "configuration in force", "leaving"):
             assert expected in messages
         assert messages[-1] == "stopped"
         text = json.dumps(lines)
-        assert '"k1"' not in text  # a key of a caller
+        assert '"k1"' not in text  # a caller's key must not be logged
         assert "r1" in text
 
     run(test, tmp_path)
 
 
-def test_a_start_loads_nothing_of_the_products_own_interface() -> None:
-    """A start takes 0.60 s of processor time without them, 0.70 s with."""
+def test_start_does_not_import_unused_packages() -> None:
+    """Importing them raises the CPU time of a start from 0.60 s to 0.70 s."""
     code = "import sys, balsamlift.platform; print(*sys.modules)"
     loaded = subprocess.run(
         [sys.executable, "-c", code],
--- a/tests/test_platform_decode.py
+++ b/tests/test_platform_decode.py
@@ -1,4 +1,4 @@
-"""Records and settings of the platform, decoded once."""
+"""Test decoding the platform's records and settings."""
 
 import json
 import re
@@ -29,7 +29,7 @@
     METRICS_PORT,
     decode_node_settings,
 )
-from balsamlift.platform._store import _decode_read
+from balsamlift.platform._store import _decode_read_answer
 from balsamlift.relay import FIRST_LIMITS, CallerLimits, ColdLimits
 
 MANIFEST: dict[str, Any] = {
@@ -52,7 +52,7 @@
             "Name": "r-2",
             "Hostname": "shop.example",
             "PathPrefix": "/b/",
-            "RouteType": "of another day",
+            "RouteType": "of a later version",
             "TimeoutMs": 1000,
             "TargetLatencyMs": 100,
             "Public": True,
@@ -136,19 +136,19 @@
     )
 
 
-def test_limits_that_are_not_told_are_wide() -> None:
+def test_missing_limits_have_wide_defaults() -> None:
     manifest = {**MANIFEST, "Limits": {"MaxBodyBytes": 1}}
     configuration = decode_configuration(json.dumps(manifest).encode())
     assert configuration.limits == attrs.evolve(FIRST_LIMITS, body_bytes=1)
 
 
-def test_an_unknown_kind_is_taken_as_the_strictest() -> None:
+def test_unknown_route_type_is_handled_as_non_idempotent() -> None:
     configuration = decode_configuration(json.dumps(MANIFEST).encode())
     assert configuration.routes[1].kind == "non_idempotent"
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b'{"Version": "7"}', b"\xff"])
-def test_a_record_that_is_none_has_a_typed_error(data: bytes) -> None:
+def test_invalid_record_raises_record_error(data: bytes) -> None:
     with pytest.raises(RecordError):
         decode_configuration(data)
     with pytest.raises(RecordError):
@@ -177,39 +177,46 @@
     assert entry.started_ms == 1_700_000_000_123
 
 
-def test_an_upstream_need_not_tell_its_start() -> None:
+def test_start_time_of_upstream_is_optional() -> None:
     entry = decode_upstream("i-1", json.dumps(ENTRY).encode())
     assert entry.started_ms == 0
 
 
-def without(name: str) -> bytes:
+def entry_without(name: str) -> bytes:
     return json.dumps({k: v for k, v in ENTRY.items() if k != name}).encode()
 
 
-def changed(**fields: Any) -> bytes:
+def entry_with(**fields: Any) -> bytes:
     return json.dumps({**ENTRY, **fields}).encode()
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        *(pytest.param(without(name), id=f"no {name}") for name in ENTRY),
-        pytest.param(changed(LifecycleState="new word"), id="state"),
-        pytest.param(changed(Slots="24"), id="type"),
-        pytest.param(changed(Service=None), id="null"),
-        pytest.param(changed(born="1700000000123"), id="start as text"),
-        pytest.param(changed(born=1.5), id="broken start"),
-        pytest.param(changed(born=-1), id="negative start"),
-        pytest.param(changed(Address="10.1.0.9"), id="no port"),
-        pytest.param(changed(Address="store.example:80"), id="no IP number"),
-        pytest.param(changed(more="x" * 3_000_000), id="megabytes"),
-        pytest.param(b'{"x":' + b"[" * 20_000, id="deep"),
-        pytest.param(b"\xff\xfe\x00", id="no text"),
+        *(
+            pytest.param(entry_without(name), id=f"missing {name}")
+            for name in ENTRY
+        ),
+        pytest.param(entry_with(LifecycleState="new word"), id="state"),
+        pytest.param(entry_with(Slots="24"), id="type"),
+        pytest.param(entry_with(Service=None), id="null"),
+        pytest.param(
+            entry_with(born="1700000000123"), id="start time as text"
+        ),
+        pytest.param(entry_with(born=1.5), id="fractional start"),
+        pytest.param(entry_with(born=-1), id="negative start"),
+        pytest.param(entry_with(Address="10.1.0.9"), id="no port"),
+        pytest.param(
+            entry_with(Address="store.example:80"), id="no IP address"
+        ),
+        pytest.param(entry_with(more="x" * 3_000_000), id="too large"),
+        pytest.param(b'{"x":' + b"[" * 20_000, id="deeply nested"),
+        pytest.param(b"\xff\xfe\x00", id="not UTF-8"),
         pytest.param(b"[]", id="a list"),
-        pytest.param(b"", id="nothing"),
+        pytest.param(b"", id="empty"),
     ],
 )
-def test_an_entry_of_another_writer_names_no_upstream(data: bytes) -> None:
+def test_invalid_upstream_entry_is_rejected(data: bytes) -> None:
     with pytest.raises(RecordError):
         decode_upstream("i-1", data)
 
@@ -217,7 +224,7 @@
 @pytest.mark.parametrize(
     "key", ["", "i 1", "i-1\r\nX-Tenant: other", "i-\ufffd", "i" * 10_000]
 )
-def test_a_name_that_no_header_can_hold_names_no_upstream(key: str) -> None:
+def test_upstream_name_invalid_in_a_header_is_rejected(key: str) -> None:
     with pytest.raises(RecordError):
         decode_upstream(key, json.dumps(ENTRY).encode())
 
@@ -241,11 +248,11 @@
     st.text(max_size=12),
     st.dictionaries(st.sampled_from(list(ENTRY)), JSON_VALUES, max_size=3),
 )
-def test_any_entry_is_read_or_refused(
+def test_any_entry_is_decoded_or_rejected(
     key: str, fields: dict[str, Any]
 ) -> None:
     try:
-        entry = decode_upstream(key, changed(**fields))
+        entry = decode_upstream(key, entry_with(**fields))
     except RecordError:
         return
     assert entry.state in ("live", "leaving")
@@ -254,49 +261,53 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=200))
-def test_any_bytes_are_read_or_refused(data: bytes) -> None:
+def test_any_bytes_are_decoded_or_rejected(data: bytes) -> None:
     for decode in (
         lambda: decode_upstream("i-1", data),
         lambda: decode_host(data),
         lambda: decode_configuration(data),
-        lambda: _decode_read(data, 0),
+        lambda: _decode_read_answer(data, 0),
     ):
         with suppress(RecordError, StoreError):
             decode()
 
 
-def test_a_record_that_cannot_be_read_does_not_hide_those_after_it() -> None:
-    head = struct.pack(">QQ", 13, 3)
-    broken = struct.pack(">I", 0) + keyed(b"\xff\xfe", b"x")
-    news = _decode_read(head + broken + keyed(b"a", b"1"), 10)
-    assert [(r.key, r.value) for r in news.records][-1] == ("a", b"1")
-    assert news.end == 13
+def test_records_after_an_invalid_one_are_decoded() -> None:
+    header = struct.pack(">QQ", 13, 3)
+    broken = struct.pack(">I", 0) + encode_record(b"\xff\xfe", b"x")
+    newest = _decode_read_answer(
+        header + broken + encode_record(b"a", b"1"), 10
+    )
+    assert [(r.key, r.value) for r in newest.records][-1] == ("a", b"1")
+    assert newest.end == 13
 
 
-def keyed(key: bytes, value: bytes) -> bytes:
+def encode_record(key: bytes, value: bytes) -> bytes:
     content = bytes([len(key)]) + key + value
     return struct.pack(">I", len(content)) + content
 
 
-def test_reads_records_up_to_the_one_cut_off() -> None:
-    head = struct.pack(">QQ", 12, 3)
-    whole = keyed(b"a", b"1") + keyed(b"b", b"")
-    news = _decode_read(head + whole + keyed(b"c", b"3")[:-1], 10)
-    assert [(r.key, r.value) for r in news.records] == [
+def test_decodes_records_before_a_truncated_one() -> None:
+    header = struct.pack(">QQ", 12, 3)
+    complete = encode_record(b"a", b"1") + encode_record(b"b", b"")
+    newest = _decode_read_answer(
+        header + complete + encode_record(b"c", b"3")[:-1], 10
+    )
+    assert [(r.key, r.value) for r in newest.records] == [
         ("a", b"1"),
         ("b", None),
     ]
-    assert news.end == 12
+    assert newest.end == 12
 
 
-def test_a_read_without_its_numbers_has_a_typed_error() -> None:
+def test_answer_without_header_raises_store_error() -> None:
     with pytest.raises(StoreError):
-        _decode_read(b"short", 0)
+        _decode_read_answer(b"short", 0)
 
 
-def test_reads_settings_and_leaves_out_what_is_new() -> None:
+def test_decodes_settings_and_ignores_unknown_fields() -> None:
     node = decode_node_settings(SETTINGS, "settings.toml")
-    settings = node.product_settings()
+    settings = node.core_settings()
     assert settings.host == "edge-north-1"
     assert settings.peers_address == "10.1.0.19:7200"
     assert settings.operators_address == f"10.1.0.19:{METRICS_PORT}"
@@ -306,18 +317,18 @@
 @pytest.mark.parametrize(
     "path", ["NodeName", "Platform", "InternalPorts", "Bounds", "Listen"]
 )
-def test_names_the_setting_that_is_missing(path: str) -> None:
+def test_error_names_the_missing_setting(path: str) -> None:
     fields = {name: v for name, v in SETTINGS.items() if name != path}
     with pytest.raises(SettingsError) as caught:
         decode_node_settings(fields, "settings.toml")
     assert caught.value.path.startswith(path)
 
 
-def test_nothing_outside_the_adapter_knows_the_platforms_names() -> None:
-    """Wire names that are words of their own; a plain word proves nothing."""
+def test_no_platform_names_outside_the_adapter() -> None:
+    """Search distinctive names only: common words may occur anywhere."""
     names = {
         name
-        for name in vars_of(HEADERS)
+        for name in string_attributes(HEADERS)
         if name.lower().startswith(("x-", "kv-"))
     }
     names |= {"ApiKeys", "LifecycleState", "TargetLatencyMs", "PathPrefix"}
@@ -333,7 +344,7 @@
     assert found == []
 
 
-def vars_of(headers: object) -> list[str]:
+def string_attributes(headers: object) -> list[str]:
     return [
         value
         for name in dir(headers)
@@ -342,13 +353,13 @@
     ]
 
 
-def test_the_deploy_file_names_the_port_of_the_metrics() -> None:
+def test_deploy_file_contains_the_metrics_port() -> None:
     deploy = Path(__file__).parent.parent / "deploy" / "system.toml"
     (role,) = tomllib.loads(deploy.read_text())["roles"].values()
     assert role["metrics"] == f"{METRICS_PORT}/metrics"
 
 
-def test_reads_what_is_bound_to_regions_and_what_is_cold() -> None:
+def test_decodes_regions_and_cold_limits() -> None:
     route = {**MANIFEST["Routes"][0], "AllowedRegions": ["land", "sea"]}
     workspace = {"Name": "w", "ApiKeys": ["k"], "AllowedRegions": ["sea"]}
     service = {**MANIFEST["Services"][0], "ColdPerS": 27.0}
@@ -363,11 +374,13 @@
     assert configuration.routes[1].regions == frozenset()
     assert configuration.workspaces[0].regions == {"sea"}
     assert configuration.services[0].cold_per_s == 27.0
-    entry = decode_upstream("i-1", changed(ColdRemainingMs=800.5, Sequence=9))
+    entry = decode_upstream(
+        "i-1", entry_with(ColdRemainingMs=800.5, Sequence=9)
+    )
     assert (entry.cold_ms, entry.written) == (800.5, 9)
 
 
-def test_reads_evacuations_whatever_their_records_hold() -> None:
+def test_decodes_evacuations_with_any_value() -> None:
     values = {
         "config": b"{}",
         "evacuate/north": b"{}",
@@ -377,7 +390,7 @@
     assert decode_evacuations(values) == ["a/b", "north"]
 
 
-def test_settings_tell_regions_and_the_bound_on_cold_upstreams() -> None:
+def test_decodes_settings_for_regions_and_cold_limits() -> None:
     node = decode_node_settings(SETTINGS, "settings.toml")
     assert node.cold_limits is None
     assert node.regions == {SETTINGS["Zone"]: SETTINGS["Region"]}
