--- a/bench/list_cost.py
+++ b/bench/list_cost.py
@@ -18,7 +18,7 @@
 from balsamlift.peers._incarnations import take_latest
 from balsamlift.peers._upstream import join_upstream
 from balsamlift.platform._decode import decode_upstream
-from balsamlift.platform._watch import _Decoded
+from balsamlift.platform._watch import _DecodeCache
 
 SIZES = (26, 450, 4_500)
 CHANGES = 20
@@ -33,7 +33,7 @@
 def _measure(size: int) -> dict[str, float]:
     rng = random.Random(size)
     values = {f"i-{n:06}": _entry(n, 0) for n in range(size)}
-    decoded = _Decoded(decode_upstream)
+    decoded = _DecodeCache(decode_upstream)
     entries = decoded.update(values)
     known = _join(entries)
     decode_ms = join_ms = 0.0
--- a/src/balsamlift/platform/_watch.py
+++ b/src/balsamlift/platform/_watch.py
@@ -132,7 +132,7 @@
     routing.offer(configuration, data, source, decode_ms)
 
 
-class _Decoded(Generic[T]):
+class _DecodeCache(Generic[T]):
     """Decode records, and reuse the results of unchanged ones."""
 
     def __init__(self, decode: Callable[[str, bytes], T]) -> None:
@@ -168,8 +168,8 @@
         """Follow both topics with the limits of `pace`."""
         self.upstreams_follower = Follower(store, UPSTREAMS_TOPIC, clock, pace)
         self._hosts_follower = Follower(store, HOSTS_TOPIC, clock, pace)
-        self._decoded_upstreams = _Decoded(decode_upstream)
-        self._decoded_hosts = _Decoded(
+        self._decoded_upstreams = _DecodeCache(decode_upstream)
+        self._decoded_hosts = _DecodeCache(
             lambda key, data: (key, decode_host(data))
         )
         self._clock = clock
