--- a/src/balsamlift/platform/_settings.py
+++ b/src/balsamlift/platform/_settings.py
@@ -21,7 +21,7 @@
     Settings,
 )
 
-FILE_VARIABLE = "BALSAMLIFT_NODE_FILE"
+SETTINGS_FILE_VARIABLE = "BALSAMLIFT_NODE_FILE"
 
 # The port under `metrics` in the deploy file, which cannot name a port that
 # varies between days.
@@ -176,12 +176,15 @@
 def load_node_settings(file: str | None = None) -> NodeSettings:
     """Return the settings in a file; raise `SettingsError` if invalid.
 
-    `file` defaults to the path in the environment variable `FILE_VARIABLE`.
+    `file` defaults to the path in the environment variable
+    `SETTINGS_FILE_VARIABLE`.
     """
-    name = file or os.environ.get(FILE_VARIABLE, "")
+    name = file or os.environ.get(SETTINGS_FILE_VARIABLE, "")
     if not name:
         raise SettingsError(
-            "the environment", FILE_VARIABLE, "the path of a settings file"
+            "the environment",
+            SETTINGS_FILE_VARIABLE,
+            "the path of a settings file",
         )
     try:
         fields = tomllib.loads(Path(name).read_text(encoding="utf-8"))
--- a/tests/soak/hosts.py
+++ b/tests/soak/hosts.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from balsamlift._address import join_address
-from balsamlift.platform._settings import FILE_VARIABLE
+from balsamlift.platform._settings import SETTINGS_FILE_VARIABLE
 from balsamlift.testing._link import Link
 from balsamlift.testing._settings import LinkSettings
 from balsamlift.testing.platform import KeyedStore
@@ -104,7 +104,10 @@
                     sys.executable,
                     "deploy/serve.py",
                     cwd=ROOT,
-                    env={**os.environ, FILE_VARIABLE: str(self._file)},
+                    env={
+                        **os.environ,
+                        SETTINGS_FILE_VARIABLE: str(self._file),
+                    },
                     stdout=output,
                     stderr=output,
                 )
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -17,7 +17,7 @@
     HEADERS,
     UPSTREAMS_TOPIC,
 )
-from balsamlift.platform._settings import FILE_VARIABLE, METRICS_PORT
+from balsamlift.platform._settings import METRICS_PORT, SETTINGS_FILE_VARIABLE
 from balsamlift.testing.platform import KeyedStore
 from balsamlift.testing.relay import (
     ReplicaConnection,
@@ -87,7 +87,7 @@
             sys.executable,
             "deploy/serve.py",
             cwd=ROOT,
-            env={**os.environ, FILE_VARIABLE: str(file)},
+            env={**os.environ, SETTINGS_FILE_VARIABLE: str(file)},
             stdout=asyncio.subprocess.PIPE,
         )
         while await self.get("Readiness", "/readyz") != 200:
