--- a/src/balsamlift/platform/_daemon.py
+++ b/src/balsamlift/platform/_daemon.py
@@ -34,8 +34,8 @@
 
 log = logger.bind(part="daemon")
 
-# Callers may cache addresses for three times as long as told. A leaving host
-# is then in no cache any more before its grace period ends.
+# Callers may cache addresses for three times as long as told. With this value,
+# the address of a leaving host expires before its grace period ends.
 ADDRESS_TTL_MS = 2_000
 # Part of the grace period reserved for ending the remaining requests and the
 # process.
--- a/src/balsamlift/platform/_settings.py
+++ b/src/balsamlift/platform/_settings.py
@@ -43,7 +43,7 @@
 
 # Part of the time until a change has to be in force that is reserved for
 # detecting a missing answer (1 s), a pause of 0.2 s, a new connection and the
-# read itself, of which a busy host takes 0.2 s.
+# read itself, which takes a busy host 0.2 s.
 SILENCE_MARGIN_MS = 1_500
 MIN_READ_WAIT_MS = 1_000
 
--- a/src/balsamlift/platform/_store.py
+++ b/src/balsamlift/platform/_store.py
@@ -239,7 +239,7 @@
     def __init__(
         self, start: int, on_large_answer: Callable[[int], None]
     ) -> None:
-        """Detect the answer to a read that begins at offset `start`."""
+        """Inspect the answer to a read that begins at offset `start`."""
         self._start = start
         self._on_large_answer = on_large_answer
         self._header = b""
--- a/tests/test_platform_decode.py
+++ b/tests/test_platform_decode.py
@@ -197,7 +197,7 @@
             pytest.param(entry_without(name), id=f"missing {name}")
             for name in ENTRY
         ),
-        pytest.param(entry_with(LifecycleState="new word"), id="state"),
+        pytest.param(entry_with(LifecycleState="unknown state"), id="state"),
         pytest.param(entry_with(Slots="24"), id="type"),
         pytest.param(entry_with(Service=None), id="null"),
         pytest.param(
