--- a/src/balsamlift/peers/__init__.py
+++ b/src/balsamlift/peers/__init__.py
@@ -2,6 +2,7 @@
 
 from balsamlift.peers._crash_reports import CrashReports
 from balsamlift.peers._evacuations import EvacuationNews, Evacuations
+from balsamlift.peers._fallback_reads import FallbackReads
 from balsamlift.peers._follower import Follower, Pace
 from balsamlift.peers._hosts_list import (
     ENTRY_ROLE,
@@ -10,7 +11,6 @@
 )
 from balsamlift.peers._list_reader import UpstreamList
 from balsamlift.peers._load import CountsBasis
-from balsamlift.peers._lone_reads import LoneReads
 from balsamlift.peers._marks import UpstreamState
 from balsamlift.peers._membership import Peers
 from balsamlift.peers._messages import CrashReport
@@ -30,9 +30,9 @@
     "EntryHost",
     "EvacuationNews",
     "Evacuations",
+    "FallbackReads",
     "Follower",
     "ListEntry",
-    "LoneReads",
     "Newest",
     "Pace",
     "Peer",
--- a/src/balsamlift/peers/_lone_reads.py
+++ b/src/balsamlift/peers/_fallback_reads.py
@@ -19,7 +19,7 @@
 YIELD_S = 0.1
 
 
-class LoneReads:
+class FallbackReads:
     """Back off after failed fallback reads, over all topics of the host.
 
     A store that refused one read most likely refuses the next too, so only
--- a/src/balsamlift/peers/_follower.py
+++ b/src/balsamlift/peers/_follower.py
@@ -18,7 +18,7 @@
 
 from balsamlift.clock import Clock
 from balsamlift.exceptions import HistoryLostError, StoreError
-from balsamlift.peers._lone_reads import LoneReads
+from balsamlift.peers._fallback_reads import FallbackReads
 from balsamlift.peers._positions import StorePosition
 from balsamlift.peers._records import (
     Newest,
@@ -80,7 +80,7 @@
         self._is_reader: Callable[[], bool] = _always
         self._was_reader = True
         self._confirmed_s: float | None = None
-        self._lone_reads = LoneReads(clock)
+        self._fallback_reads = FallbackReads(clock)
         self._has_update = False  # changes not yet returned by `follow`
         # Offset up to which to read, as reported by other hosts; 0: none.
         self._target_end = 0
@@ -91,15 +91,15 @@
     def share(
         self,
         is_reader: Callable[[], bool],
-        lone_reads: LoneReads | None = None,
+        fallback_reads: FallbackReads | None = None,
     ) -> None:
         """Read only while `is_reader()`, or when the records are too old.
 
         The topics of one host should share one `fallback_reads`.
         """
         self._is_reader = is_reader
-        self._lone_reads = lone_reads or self._lone_reads
-        self._lone_reads.add(self._topic)
+        self._fallback_reads = fallback_reads or self._fallback_reads
+        self._fallback_reads.add(self._topic)
 
     @property
     def reads(self) -> bool:
@@ -283,7 +283,7 @@
     def _needs_fallback_read(self) -> bool:
         if not self._is_behind and self.age_s <= self._pace.most_age_s:
             return False
-        return self._clock.monotonic() >= self._lone_reads.next_read_s(
+        return self._clock.monotonic() >= self._fallback_reads.next_read_s(
             self._topic
         )
 
@@ -316,7 +316,7 @@
         """Return how long to wait for an update from another host."""
         now_s = self._clock.monotonic()
         left_s = self._pace.most_age_s - self.age_s
-        retry_in_s = self._lone_reads.next_read_s(self._topic) - now_s
+        retry_in_s = self._fallback_reads.next_read_s(self._topic) - now_s
         wait_s = max(left_s, retry_in_s, MIN_WAIT_S)
         return min(wait_s, ROLE_CHECK_S)
 
@@ -332,9 +332,9 @@
                 self._read_newest() if several_behind else self.read(0)
             )
         except StoreError:
-            self._lone_reads.failed(self._topic)
+            self._fallback_reads.failed(self._topic)
             raise
-        self._lone_reads.succeeded(self._topic)
+        self._fallback_reads.succeeded(self._topic)
         # Keep a target that was reported or found during the read.
         if self._target_end == target_end:
             self._target_end = 0
--- a/src/balsamlift/platform/_daemon.py
+++ b/src/balsamlift/platform/_daemon.py
@@ -17,7 +17,7 @@
 from balsamlift.kernel import Kernel
 from balsamlift.metrics import Metrics
 from balsamlift.operators import OperatorsServer
-from balsamlift.peers import LoneReads, Peers, Record, Sources, Upstreams
+from balsamlift.peers import FallbackReads, Peers, Record, Sources, Upstreams
 from balsamlift.platform._decode import HostRecord, encode_operator_records
 from balsamlift.platform._engines import PlatformEngines
 from balsamlift.platform._settings import NodeSettings, load_node_settings
@@ -122,9 +122,9 @@
             ),
             snapshot_records=self._snapshot_records,
         )
-        lone_reads = LoneReads(self._clock)
+        fallback_reads = FallbackReads(self._clock)
         for follower in (sources.configuration, sources.listed):
-            follower.share(lambda: self.peers.reads_records, lone_reads)
+            follower.share(lambda: self.peers.reads_records, fallback_reads)
         self.peers.records.connect(sources)
 
     def _snapshot_records(self, end: int) -> list[Record]:
--- a/tests/test_peers_follower.py
+++ b/tests/test_peers_follower.py
@@ -19,8 +19,8 @@
     SharedRecords,
     Sources,
 )
+from balsamlift.peers._fallback_reads import RETRY_MS, YIELD_S, FallbackReads
 from balsamlift.peers._follower import TopicNews
-from balsamlift.peers._lone_reads import RETRY_MS, YIELD_S, LoneReads
 from balsamlift.peers._positions import StorePosition
 from balsamlift.peers._shared_records import (
     SEND_BURST_BYTES,
@@ -298,31 +298,35 @@
 def test_one_topic_at_a_time_is_read_during_an_outage() -> None:
     """The topic whose read failed lets the other be read first."""
     clock = ManualClock()
-    lone_reads = LoneReads(clock, random.Random(1))
+    fallback_reads = FallbackReads(clock, random.Random(1))
     for topic in ("routes", "list"):
-        lone_reads.add(topic)
-    lone_reads.failed("routes")
+        fallback_reads.add(topic)
+    fallback_reads.failed("routes")
     now_s = clock.monotonic()
-    list_s = lone_reads.next_read_s("list")
+    list_s = fallback_reads.next_read_s("list")
     assert list_s - now_s >= RETRY_MS / 2_000 - 0.01
-    assert lone_reads.next_read_s("routes") == pytest.approx(list_s + YIELD_S)
-    lone_reads.failed("list")
-    assert lone_reads.next_read_s("routes") < lone_reads.next_read_s("list")
+    assert fallback_reads.next_read_s("routes") == pytest.approx(
+        list_s + YIELD_S
+    )
+    fallback_reads.failed("list")
+    assert fallback_reads.next_read_s("routes") < fallback_reads.next_read_s(
+        "list"
+    )
 
 
 def test_a_topic_that_is_read_is_not_delayed_by_others() -> None:
     """Guard against delays of one topic while the store serves others."""
-    lone_reads = LoneReads(ManualClock(), random.Random(1))
+    fallback_reads = FallbackReads(ManualClock(), random.Random(1))
     for topic in ("routes", "list"):
-        lone_reads.add(topic)
-    lone_reads.failed("routes")
-    lone_reads.succeeded("list")
-    before_s = lone_reads.next_read_s("list")
-    lone_reads.failed("routes")
-    assert lone_reads.next_read_s("list") == before_s
-    lone_reads.failed("list")
-    lone_reads.failed("routes")
-    assert lone_reads.next_read_s("list") > before_s
+        fallback_reads.add(topic)
+    fallback_reads.failed("routes")
+    fallback_reads.succeeded("list")
+    before_s = fallback_reads.next_read_s("list")
+    fallback_reads.failed("routes")
+    assert fallback_reads.next_read_s("list") == before_s
+    fallback_reads.failed("list")
+    fallback_reads.failed("routes")
+    assert fallback_reads.next_read_s("list") > before_s
 
 
 def test_evacuations_are_sent_with_the_configuration() -> None:
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -18,8 +18,8 @@
 from balsamlift.peers import (
     EvacuationNews,
     Evacuations,
+    FallbackReads,
     Follower,
-    LoneReads,
     Newest,
     Record,
     SharedRecords,
@@ -226,9 +226,9 @@
         self.gathering.hosts_by_name = cluster.hosts
         self.gathering._hosts = lambda: cluster.others(name)
         self.gathering._metrics = Metrics()
-        lone_reads = LoneReads(clock, random.Random(name))
+        fallback_reads = FallbackReads(clock, random.Random(name))
         for follower in (self.configuration, self.listed):
-            follower.share(lambda: self._reads(cluster), lone_reads)
+            follower.share(lambda: self._reads(cluster), fallback_reads)
 
     def _snapshot_records(self, end: int) -> list[Record]:
         version = b"%d" % (self.copy.offset - 1)
