--- a/src/balsamlift/peers/__init__.py
+++ b/src/balsamlift/peers/__init__.py
@@ -3,7 +3,7 @@
 from balsamlift.peers._crash_reports import CrashReports
 from balsamlift.peers._evacuations import EvacuationNews, Evacuations
 from balsamlift.peers._fallback_reads import FallbackReads
-from balsamlift.peers._follower import Follower, Pace
+from balsamlift.peers._follower import Follower, FreshnessLimits
 from balsamlift.peers._hosts_list import (
     ENTRY_ROLE,
     UPSTREAM_ROLE,
@@ -32,9 +32,9 @@
     "Evacuations",
     "FallbackReads",
     "Follower",
+    "FreshnessLimits",
     "ListEntry",
     "Newest",
-    "Pace",
     "Peer",
     "Peers",
     "Place",
--- a/src/balsamlift/peers/_follower.py
+++ b/src/balsamlift/peers/_follower.py
@@ -39,11 +39,11 @@
 
 
 @attrs.frozen(kw_only=True)
-class Pace:
+class FreshnessLimits:
     """Limit the age of the records of a topic on one host."""
 
     wait_ms: int  # for which a read waits for new records
-    most_age_s: float  # before a host that is not a reader reads the store
+    max_age_s: float  # before a host that is not a reader reads the store
 
 
 class TopicNews(msgspec.Struct, frozen=True, array_like=True):
@@ -69,13 +69,17 @@
     """Keep the newest record of each key of one topic."""
 
     def __init__(
-        self, store: RecordStore, topic: str, clock: Clock, pace: Pace
+        self,
+        store: RecordStore,
+        topic: str,
+        clock: Clock,
+        limits: FreshnessLimits,
     ) -> None:
         """Start without records, as a reader; see `share`."""
         self._store = store
         self._topic = topic
         self._clock = clock
-        self._pace = pace
+        self._limits = limits
         self._table = RecordTable()
         self._is_reader: Callable[[], bool] = _always
         self._was_reader = True
@@ -131,7 +135,7 @@
     @property
     def is_fresh(self) -> bool:
         """Return whether the records are as new as a reader would send."""
-        return self.age_s <= self._pace.wait_ms / 1_000 + READ_DELAY_S
+        return self.age_s <= self._limits.wait_ms / 1_000 + READ_DELAY_S
 
     def on_restored(self, callback: Callable[[], None]) -> None:
         """Call `callback` after the store was restored from an older copy."""
@@ -281,7 +285,7 @@
         return self._target_end > (self._table.end or 0)
 
     def _needs_fallback_read(self) -> bool:
-        if not self._is_behind and self.age_s <= self._pace.most_age_s:
+        if not self._is_behind and self.age_s <= self._limits.max_age_s:
             return False
         return self._clock.monotonic() >= self._fallback_reads.next_read_s(
             self._topic
@@ -308,14 +312,14 @@
         was sent, so the next one waits for as much less.
         """
         if self._is_reader is _always:
-            return self._pace.wait_ms  # no other host depends on it
-        age_ms = min(self.age_s * 1_000, self._pace.wait_ms)
-        return self._pace.wait_ms - round(age_ms)
+            return self._limits.wait_ms  # no other host depends on it
+        age_ms = min(self.age_s * 1_000, self._limits.wait_ms)
+        return self._limits.wait_ms - round(age_ms)
 
     def _update_wait_s(self) -> float:
         """Return how long to wait for an update from another host."""
         now_s = self._clock.monotonic()
-        left_s = self._pace.most_age_s - self.age_s
+        left_s = self._limits.max_age_s - self.age_s
         retry_in_s = self._fallback_reads.next_read_s(self._topic) - now_s
         wait_s = max(left_s, retry_in_s, MIN_WAIT_S)
         return min(wait_s, ROLE_CHECK_S)
--- a/src/balsamlift/platform/_settings.py
+++ b/src/balsamlift/platform/_settings.py
@@ -11,7 +11,7 @@
 
 from balsamlift._address import join_address
 from balsamlift.exceptions import SettingsError
-from balsamlift.peers import Pace
+from balsamlift.peers import FreshnessLimits
 from balsamlift.platform._names import HEADERS
 from balsamlift.relay import ColdLimits, RelaySettings, RetryLimits
 from balsamlift.settings import (
@@ -109,22 +109,26 @@
         return self._shared_wait_ms >= LEAST_SHARED_WAIT_MS
 
     @property
-    def configuration_pace(self) -> Pace:
+    def configuration_pace(self) -> FreshnessLimits:
         """Return how the configuration is followed."""
         wait_ms = self.read_wait_ms
         if self.can_share_reading:
             wait_ms = min(wait_ms, self._shared_wait_ms)
-        return Pace(wait_ms=wait_ms, most_age_s=self._most_age_ms / 1_000)
+        return FreshnessLimits(
+            wait_ms=wait_ms, max_age_s=self._most_age_ms / 1_000
+        )
 
     @property
-    def list_pace(self) -> Pace:
+    def list_pace(self) -> FreshnessLimits:
         """Return how the list of upstreams is followed."""
         wait_ms = LIST_WAIT_MS
         if self.can_share_reading:
             # Between two reads there is a pause, up to a fifth longer.
             wait_ms = self._shared_wait_ms - int(LIST_PAUSE_MS * 1.25)
             wait_ms = min(self.read_wait_ms, wait_ms)
-        return Pace(wait_ms=wait_ms, most_age_s=self._most_age_ms / 1_000)
+        return FreshnessLimits(
+            wait_ms=wait_ms, max_age_s=self._most_age_ms / 1_000
+        )
 
     def product_settings(self) -> Settings:
         """Return the product's own settings."""
--- a/src/balsamlift/platform/_watch.py
+++ b/src/balsamlift/platform/_watch.py
@@ -19,8 +19,8 @@
     EvacuationNews,
     Evacuations,
     Follower,
+    FreshnessLimits,
     ListEntry,
-    Pace,
 )
 from balsamlift.platform._decode import (
     HostRecord,
@@ -63,7 +63,11 @@
     name = "configuration_watch"
 
     def __init__(
-        self, store: Store, clock: Clock, pace: Pace, evacuations: Evacuations
+        self,
+        store: Store,
+        clock: Clock,
+        pace: FreshnessLimits,
+        evacuations: Evacuations,
     ) -> None:
         """Follow the topic of operators at that pace."""
         self._evacuations = evacuations
@@ -156,7 +160,9 @@
 class UpstreamsSource:
     """Read upstreams and our own hosts from the store, as one list."""
 
-    def __init__(self, store: Store, clock: Clock, pace: Pace) -> None:
+    def __init__(
+        self, store: Store, clock: Clock, pace: FreshnessLimits
+    ) -> None:
         """Follow both topics; upstreams at that pace."""
         self.upstreams = Follower(store, UPSTREAMS_TOPIC, clock, pace)
         self._hosts = Follower(store, HOSTS_TOPIC, clock, pace)
--- a/tests/test_peers_follower.py
+++ b/tests/test_peers_follower.py
@@ -13,8 +13,8 @@
     EvacuationNews,
     Evacuations,
     Follower,
+    FreshnessLimits,
     Newest,
-    Pace,
     Record,
     SharedRecords,
     Sources,
@@ -29,7 +29,7 @@
 )
 
 DEADLINE_S = 10.0
-LIMITS = Pace(wait_ms=200, most_age_s=0.6)
+LIMITS = FreshnessLimits(wait_ms=200, max_age_s=0.6)
 
 
 class ManualClock(SystemClock):
@@ -165,7 +165,7 @@
         assert await world.receiver.follow()
         assert world.receiver.values() == {"a": b"2"}
         assert world.receiver_store.calls == 1
-        assert world.receiver.age_s < LIMITS.most_age_s
+        assert world.receiver.age_s < LIMITS.max_age_s
 
     run(test)
 
--- a/tests/test_peers_gathering.py
+++ b/tests/test_peers_gathering.py
@@ -14,8 +14,8 @@
 from balsamlift.peers import (
     Evacuations,
     Follower,
+    FreshnessLimits,
     Newest,
-    Pace,
     Record,
     Sources,
 )
@@ -280,7 +280,7 @@
 def share_records(gathering: Gathering, clock: HandClock) -> Follower:
     """Let a host answer from a topic, which the first in rank cannot read."""
     is_first = gathering.host == rank_hosts(HOSTS[:5])[0]
-    pace = Pace(wait_ms=100, most_age_s=30.0)
+    pace = FreshnessLimits(wait_ms=100, max_age_s=30.0)
     follower = Follower(Topic(not is_first), "t", clock, pace)
     follower.confirm(clock.monotonic())  # none has to read for a while
     records = gathering._records
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -20,7 +20,7 @@
     StoreError,
 )
 from balsamlift.kernel import Kernel
-from balsamlift.peers import Evacuations, Follower, Newest, Pace
+from balsamlift.peers import Evacuations, Follower, FreshnessLimits, Newest
 from balsamlift.platform._decode import HostRecord
 from balsamlift.platform._names import (
     CONFIGURATION_KEY,
@@ -41,7 +41,7 @@
 
 DEADLINE_S = 20.0
 MOST_CALLS = 8
-PACE = Pace(wait_ms=1_000, most_age_s=1.5)
+PACE = FreshnessLimits(wait_ms=1_000, max_age_s=1.5)
 
 
 def run(test: Callable[[KeyedStore, Store], Awaitable[None]]) -> None:
