--- a/src/balsamlift/peers/__init__.py
+++ b/src/balsamlift/peers/__init__.py
@@ -16,7 +16,7 @@
 from balsamlift.peers._messages import CrashReport
 from balsamlift.peers._peer import Peer
 from balsamlift.peers._readers import Place
-from balsamlift.peers._records import Newest, Record
+from balsamlift.peers._records import Record, RecordBatch
 from balsamlift.peers._shared_records import SharedRecords, Sources
 from balsamlift.peers._upstream import EntryHost, Upstream
 from balsamlift.peers._upstreams import Upstreams
@@ -34,11 +34,11 @@
     "Follower",
     "FreshnessLimits",
     "ListEntry",
-    "Newest",
     "Peer",
     "Peers",
     "Place",
     "Record",
+    "RecordBatch",
     "SharedRecords",
     "Sources",
     "Upstream",
--- a/src/balsamlift/peers/_follower.py
+++ b/src/balsamlift/peers/_follower.py
@@ -21,8 +21,8 @@
 from balsamlift.peers._fallback_reads import FallbackReads
 from balsamlift.peers._positions import StorePosition
 from balsamlift.peers._records import (
-    Newest,
     Record,
+    RecordBatch,
     RecordStore,
     RecordTable,
 )
@@ -197,7 +197,7 @@
         self.confirm(min(sent_s + waited_s, self._clock.monotonic()))
         return self._table.apply(batch)
 
-    async def _apply_truncated(self, batch: Newest) -> bool:
+    async def _apply_truncated(self, batch: RecordBatch) -> bool:
         """Apply an answer truncated at the size limit; request the rest.
 
         Such an answer does not confirm the age: later records are missing.
@@ -238,7 +238,7 @@
         is_same_era = position is not None and position.era == update.era
         if not is_same_era and not update.is_complete:
             return  # records before these are missing
-        newest = Newest(update.records, update.end, update.era)
+        newest = RecordBatch(update.records, update.end, update.era)
         if update.is_complete:
             self._replace_table(newest)
         else:
@@ -255,7 +255,7 @@
         """
         position = self._table.position
         if position is None or end > position:
-            self._replace_table(Newest(records, end.offset, end.era))
+            self._replace_table(RecordBatch(records, end.offset, end.era))
 
     @property
     def incoming_end(self) -> int | None:
@@ -366,7 +366,7 @@
         ).warning("ignored an answer from an earlier era of the store")
         raise StoreError(f"answer is from an earlier era of the store: {era}")
 
-    def _replace_table(self, newest: Newest) -> None:
+    def _replace_table(self, newest: RecordBatch) -> None:
         previous = self._table.position
         self._table.replace_all(newest)
         if previous is None or previous.era == newest.era:
--- a/src/balsamlift/peers/_records.py
+++ b/src/balsamlift/peers/_records.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class Newest:
+class RecordBatch:
     """Hold records of a topic, and the offset of the next read."""
 
     records: list[Record]
@@ -51,7 +51,7 @@
 class RecordStore(Protocol):
     """Read topics of the platform's store."""
 
-    async def newest(self, topic: str) -> Newest:
+    async def newest(self, topic: str) -> RecordBatch:
         """Return the newest record of each key; raise `StoreError`."""
 
     async def read(
@@ -60,7 +60,7 @@
         start: int,
         wait_ms: int,
         on_large_answer: Callable[[int], None] | None = None,
-    ) -> Newest:
+    ) -> RecordBatch:
         """Return the records from `start` on; wait up to `wait_ms` for one.
 
         Calls `on_large_answer` with the offset after the last record in the
@@ -95,13 +95,13 @@
             if record.value is not None
         }
 
-    def apply(self, batch: Newest) -> bool:
+    def apply(self, batch: RecordBatch) -> bool:
         """Apply the records that follow; return whether any was new."""
         changed = [self._apply_record(record) for record in batch.records]
         self.end = max(self.end or 0, batch.end)
         return any(changed)
 
-    def replace_all(self, newest: Newest) -> None:
+    def replace_all(self, newest: RecordBatch) -> None:
         """Replace all records by the newest record of each key.
 
         Keys missing from `newest` are removed. When the era changes, known
--- a/src/balsamlift/platform/_store.py
+++ b/src/balsamlift/platform/_store.py
@@ -15,7 +15,7 @@
 from balsamlift._streaming import StallLimits
 from balsamlift.clock import Clock, SystemClock
 from balsamlift.exceptions import HistoryLostError, StoreError
-from balsamlift.peers import Newest, Record
+from balsamlift.peers import Record, RecordBatch
 from balsamlift.platform._names import ERA_HEADER
 
 log = logger.bind(part="store")
@@ -64,7 +64,7 @@
         self._failure_kinds: dict[str, str] = {}
         self.era = 0  # latest received; 0: the store reports none
 
-    async def newest(self, topic: str) -> Newest:
+    async def newest(self, topic: str) -> RecordBatch:
         """Return the newest record of each key; raise `StoreError`."""
         records: list[Record] = []
         end: int | None = None
@@ -86,7 +86,7 @@
             if era != self.era:
                 raise StoreError("store was restored between two pages")
             if not page.HasMore or not page.Items:
-                return Newest(records, end, era)
+                return RecordBatch(records, end, era)
             after = page.Items[-1].Key
 
     async def read(
@@ -95,7 +95,7 @@
         start: int,
         wait_ms: int,
         on_large_answer: Callable[[int], None] | None = None,
-    ) -> Newest:
+    ) -> RecordBatch:
         """Return the records from `start` on, waiting for one.
 
         Calls `on_large_answer` with the offset after the last record in the
@@ -255,7 +255,7 @@
     return Record(item.Key, value, item.Offset)
 
 
-def _decode_read(body: bytes, start: int, era: int = 0) -> Newest:
+def _decode_read(body: bytes, start: int, era: int = 0) -> RecordBatch:
     """Return the records of a read and the offset after the last."""
     try:
         topic_end, _ = _NUMBERS.unpack_from(body)
@@ -271,7 +271,7 @@
             records.append(_decode_keyed(content, start + len(records)))
     except struct.error as error:
         raise StoreError(f"no records: {error}") from error
-    return Newest(records, start + len(records), era, topic_end)
+    return RecordBatch(records, start + len(records), era, topic_end)
 
 
 def _decode_keyed(content: bytes, offset: int) -> Record:
--- a/tests/test_peers_follower.py
+++ b/tests/test_peers_follower.py
@@ -14,8 +14,8 @@
     Evacuations,
     Follower,
     FreshnessLimits,
-    Newest,
     Record,
+    RecordBatch,
     SharedRecords,
     Sources,
 )
@@ -52,11 +52,11 @@
     def append(self, key: str, value: bytes | None) -> None:
         self.records.append(Record(key, value, len(self.records)))
 
-    async def newest(self, topic: str) -> Newest:
+    async def newest(self, topic: str) -> RecordBatch:
         self._called()
         newest = {record.key: record for record in self.records}
         kept = [r for r in newest.values() if r.value is not None]
-        return Newest(kept, len(self.records))
+        return RecordBatch(kept, len(self.records))
 
     async def read(
         self,
@@ -64,13 +64,13 @@
         start: int,
         wait_ms: int,
         on_large_answer: Callable[[int], None] | None = None,
-    ) -> Newest:
+    ) -> RecordBatch:
         self._called()
         for _ in range(wait_ms // 10):
             if len(self.records) > start:
                 break
             await asyncio.sleep(0.01)
-        return Newest(self.records[start:], len(self.records))
+        return RecordBatch(self.records[start:], len(self.records))
 
     def _called(self) -> None:
         self.calls += 1
--- a/tests/test_peers_gathering.py
+++ b/tests/test_peers_gathering.py
@@ -15,8 +15,8 @@
     Evacuations,
     Follower,
     FreshnessLimits,
-    Newest,
     Record,
+    RecordBatch,
     Sources,
 )
 from balsamlift.peers._gatherer import KEEP_S, Gatherer
@@ -260,14 +260,14 @@
     def __init__(self, is_served: bool) -> None:
         self.is_served = is_served
 
-    async def newest(self, topic: str) -> Newest:
+    async def newest(self, topic: str) -> RecordBatch:
         if not self.is_served:
             raise StoreError("turned away")
-        return Newest([Record("e1", b"1", 0)], 1)
+        return RecordBatch([Record("e1", b"1", 0)], 1)
 
-    async def read(self, topic: str, start: int, wait_ms: int) -> Newest:
+    async def read(self, topic: str, start: int, wait_ms: int) -> RecordBatch:
         await asyncio.sleep(wait_ms / 1_000)
-        return Newest([], 1)
+        return RecordBatch([], 1)
 
 
 class Unchanged:
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -20,7 +20,12 @@
     StoreError,
 )
 from balsamlift.kernel import Kernel
-from balsamlift.peers import Evacuations, Follower, FreshnessLimits, Newest
+from balsamlift.peers import (
+    Evacuations,
+    Follower,
+    FreshnessLimits,
+    RecordBatch,
+)
 from balsamlift.platform._decode import HostRecord
 from balsamlift.platform._names import (
     CONFIGURATION_KEY,
@@ -157,7 +162,7 @@
 
 
 LARGE_BYTES = 120_000
-READS: list[Callable[[Store], Awaitable[Newest]]] = [
+READS: list[Callable[[Store], Awaitable[RecordBatch]]] = [
     lambda store: store.newest("keyed.t"),
     lambda store: store.read("keyed.t", 0, 0),
 ]
@@ -165,7 +170,7 @@
 
 @pytest.mark.parametrize("read", READS)
 def test_a_large_answer_may_take_longer_than_the_silence_limit(
-    read: Callable[[Store], Awaitable[Newest]],
+    read: Callable[[Store], Awaitable[RecordBatch]],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(store_module, "SILENCE_MS", 300)
@@ -185,7 +190,7 @@
 @pytest.mark.parametrize("bytes_per_s", [None, 4_096 * 8])
 def test_a_stalled_answer_is_aborted(
     bytes_per_s: float | None,
-    read: Callable[[Store], Awaitable[Newest]],
+    read: Callable[[Store], Awaitable[RecordBatch]],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(store_module, "SILENCE_MS", 300)
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -20,8 +20,8 @@
     Evacuations,
     FallbackReads,
     Follower,
-    Newest,
     Record,
+    RecordBatch,
     SharedRecords,
     Sources,
 )
@@ -95,10 +95,10 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def newest(self, topic: str) -> Newest:
+    def newest(self, topic: str) -> RecordBatch:
         newest = {record.key: record for record in self.records[topic]}
         kept = [r for r in newest.values() if r.value is not None]
-        return Newest(kept, len(self.records[topic]), self.era)
+        return RecordBatch(kept, len(self.records[topic]), self.era)
 
     def evacuated(self) -> frozenset[str]:
         values = {r.key: b"" for r in self.newest(CONFIGURATION).records}
@@ -112,7 +112,7 @@
         self._store = store
         self._host = host
 
-    async def newest(self, topic: str) -> Newest:
+    async def newest(self, topic: str) -> RecordBatch:
         await self._call()
         if topic == CONFIGURATION:
             await self._transfer(self._store.version_bytes * LISTED_FACTOR)
@@ -124,7 +124,7 @@
         start: int,
         wait_ms: int,
         on_large_answer: Callable[[int], None] | None = None,
-    ) -> Newest:
+    ) -> RecordBatch:
         await self._call()
         with suppress(TimeoutError):
             async with asyncio.timeout(wait_ms / 1_000):
@@ -142,7 +142,7 @@
             on_large_answer(len(records))
         if topic == CONFIGURATION:
             await self._transfer(versions * self._store.version_bytes)
-        return Newest(records[start:], len(records), self._store.era)
+        return RecordBatch(records[start:], len(records), self._store.era)
 
     async def _transfer(self, size: float) -> None:
         self._store.configuration_bytes_read += round(size)
