--- a/src/balsamlift/peers/_follower.py
+++ b/src/balsamlift/peers/_follower.py
@@ -46,7 +46,7 @@
     max_age_s: float  # before a host that is not a reader reads the store
 
 
-class TopicNews(msgspec.Struct, frozen=True, array_like=True):
+class TopicUpdate(msgspec.Struct, frozen=True, array_like=True):
     """Hold the records of a topic that one host sends to another."""
 
     end: int  # offset after the last record known
@@ -211,7 +211,7 @@
 
     def update_since(
         self, start: int | None, era: int = 0
-    ) -> TopicNews | None:
+    ) -> TopicUpdate | None:
         """Return the update for a host that knows the topic up to `start`.
 
         `era` is the era of the store that assigned `start`.
@@ -222,7 +222,7 @@
         records = (
             self._table.changes_since(start or 0) if is_comparable else None
         )
-        return TopicNews(
+        return TopicUpdate(
             end=self._table.end,
             age_ms=round(self.age_s * 1_000),
             is_complete=records is None,
@@ -230,7 +230,7 @@
             era=self._table.era,
         )
 
-    def apply_update(self, update: TopicNews, requested_s: float) -> None:
+    def apply_update(self, update: TopicUpdate, requested_s: float) -> None:
         """Apply the answer of another host to a request sent at that time."""
         position = self._table.position
         if position is not None and update.position < position:
--- a/src/balsamlift/peers/_shared_records.py
+++ b/src/balsamlift/peers/_shared_records.py
@@ -16,7 +16,7 @@
 
 from balsamlift.clock import Clock
 from balsamlift.peers._evacuations import EvacuationNews, Evacuations
-from balsamlift.peers._follower import Follower, TopicNews
+from balsamlift.peers._follower import Follower, TopicUpdate
 from balsamlift.peers._positions import StorePosition
 from balsamlift.peers._records import Record
 
@@ -48,7 +48,7 @@
     version: int
     version_age_ms: int | None  # since it was the newest; None: unknown
     configuration: bytes = b""  # as operators wrote it
-    listed: TopicNews | None = None
+    listed: TopicUpdate | None = None
     evacuations: EvacuationNews | None = None  # of the same age as the version
     must_read: bool = False  # the configuration is too large to be sent
     # Offset in the configuration's topic before which every record is covered
--- a/tests/test_peers_follower.py
+++ b/tests/test_peers_follower.py
@@ -20,7 +20,7 @@
     Sources,
 )
 from balsamlift.peers._fallback_reads import RETRY_MS, YIELD_S, FallbackReads
-from balsamlift.peers._follower import TopicNews
+from balsamlift.peers._follower import TopicUpdate
 from balsamlift.peers._positions import StorePosition
 from balsamlift.peers._shared_records import (
     SEND_BURST_BYTES,
@@ -409,14 +409,14 @@
     async def test(world: World) -> None:
         receiver = world.receiver
         receiver.skip_to(StorePosition(2, 3), [Record("k", b"new", 2)])
-        stale = TopicNews(9, 0, True, [Record("k", b"old", 8)], era=1)
+        stale = TopicUpdate(9, 0, True, [Record("k", b"old", 8)], era=1)
         receiver.apply_update(stale, world.clock.monotonic())
         receiver.skip_to(StorePosition(1, 9), [Record("k", b"old", 8)])
         assert receiver.values() == {"k": b"new"}
-        partial = TopicNews(5, 0, False, [Record("x", b"part", 4)], era=3)
+        partial = TopicUpdate(5, 0, False, [Record("x", b"part", 4)], era=3)
         receiver.apply_update(partial, world.clock.monotonic())
         assert receiver.values() == {"k": b"new"}  # not all of era 3 is known
-        whole = TopicNews(1, 0, True, [Record("x", b"whole", 0)], era=3)
+        whole = TopicUpdate(1, 0, True, [Record("x", b"whole", 0)], era=3)
         receiver.apply_update(whole, world.clock.monotonic())
         assert receiver.values() == {"x": b"whole"}
         assert receiver.position == StorePosition(3, 1)
--- a/tests/test_peers_messages.py
+++ b/tests/test_peers_messages.py
@@ -10,7 +10,7 @@
 
 from balsamlift.exceptions import PeerMessageError
 from balsamlift.peers import ListEntry, Record
-from balsamlift.peers._follower import TopicNews
+from balsamlift.peers._follower import TopicUpdate
 from balsamlift.peers._messages import (
     CountsSums,
     CountsUpdate,
@@ -42,7 +42,7 @@
     notes=[UpstreamNote("e1", "10.0.0.1:80", "dead", 500)],
     shared=Shared(True, b"routes", [ListEntry("e2", "upstream")]),
 )
-NEWS = TopicNews(9, 20, True, [Record("k", None, 8), Record("l", b"v", 7)])
+NEWS = TopicUpdate(9, 20, True, [Record("k", None, 8), Record("l", b"v", 7)])
 SUMS = CountsSums({"e1": 3}, RecordsAnswer(4, None, b"routes", NEWS))
 UPDATE = CountsUpdate("h1", "i1", 5, {"e1": 3}, True, Position(4, None))
 MESSAGES = [
