--- a/src/balsamlift/peers/__init__.py
+++ b/src/balsamlift/peers/__init__.py
@@ -1,7 +1,7 @@
 """Communicate with peer hosts and track the upstreams that all share."""
 
 from balsamlift.peers._crash_reports import CrashReports
-from balsamlift.peers._evacuations import EvacuationNews, Evacuations
+from balsamlift.peers._evacuations import Evacuations, EvacuationSnapshot
 from balsamlift.peers._fallback_reads import FallbackReads
 from balsamlift.peers._follower import Follower, FreshnessLimits
 from balsamlift.peers._hosts_list import (
@@ -28,7 +28,7 @@
     "CrashReport",
     "CrashReports",
     "EntryHost",
-    "EvacuationNews",
+    "EvacuationSnapshot",
     "Evacuations",
     "FallbackReads",
     "Follower",
--- a/src/balsamlift/peers/_composer.py
+++ b/src/balsamlift/peers/_composer.py
@@ -10,7 +10,7 @@
 from balsamlift.clock import Clock
 from balsamlift.peers._counts import OwnCounts
 from balsamlift.peers._crash_reports import CrashReports
-from balsamlift.peers._evacuations import EvacuationNews
+from balsamlift.peers._evacuations import EvacuationSnapshot
 from balsamlift.peers._heard import HeardPeers
 from balsamlift.peers._link import Draft, Link, Told
 from balsamlift.peers._members import Members
@@ -32,7 +32,7 @@
     chosen: bool
     wants_members: bool
     shared: Shared | None = None
-    evacuations: EvacuationNews | None = None
+    evacuations: EvacuationSnapshot | None = None
 
 
 class Composer:
--- a/src/balsamlift/peers/_evacuations.py
+++ b/src/balsamlift/peers/_evacuations.py
@@ -12,7 +12,7 @@
 log = logger.bind(part="upstreams")
 
 
-class EvacuationNews(msgspec.Struct, frozen=True, array_like=True):
+class EvacuationSnapshot(msgspec.Struct, frozen=True, array_like=True):
     """Hold the failure domains evacuated as of one position in the topic."""
 
     end: int  # offset after the last operators' record considered
@@ -35,14 +35,14 @@
 
     def __init__(self) -> None:
         """Start without a snapshot, and with nothing evacuated."""
-        self._news: EvacuationNews | None = None
+        self._snapshot: EvacuationSnapshot | None = None
         self._domains: frozenset[str] = frozenset()
         self._on_change: list[Callable[[], None]] = []
 
     @property
-    def news(self) -> EvacuationNews | None:
+    def snapshot(self) -> EvacuationSnapshot | None:
         """Return the snapshot to send to other hosts, or None."""
-        return self._news
+        return self._snapshot
 
     @property
     def domains(self) -> frozenset[str]:
@@ -54,24 +54,30 @@
         return failure_domain in self._domains
 
     def offer(
-        self, news: EvacuationNews, source: str, age_ms: int | None = None
+        self,
+        snapshot: EvacuationSnapshot,
+        source: str,
+        age_ms: int | None = None,
     ) -> bool:
         """Apply a snapshot if it is newer; return whether that changes any.
 
         `age_ms` is the time since it matched the content of the store, if
         known.
         """
-        if self._news is not None and news.position <= self._news.position:
+        if (
+            self._snapshot is not None
+            and snapshot.position <= self._snapshot.position
+        ):
             return False
-        self._news = news
-        before, self._domains = self._domains, frozenset(news.domains)
+        self._snapshot = snapshot
+        before, self._domains = self._domains, frozenset(snapshot.domains)
         if before == self._domains:
             return False
         log.bind(
             evacuated=sorted(self._domains),
             evacuated_before=sorted(before),
-            offset=news.end,
-            era=news.era,
+            offset=snapshot.end,
+            era=snapshot.era,
             source=source,
             age_ms=age_ms,
         ).info("evacuations changed")
--- a/src/balsamlift/peers/_membership.py
+++ b/src/balsamlift/peers/_membership.py
@@ -343,7 +343,7 @@
             chosen=link.host in self._links.chosen,
             wants_members=self._wants_members(),
             shared=shared,
-            evacuations=self._upstreams.evacuations.news,
+            evacuations=self._upstreams.evacuations.snapshot,
         )
         return self._composer.compose(link, status)
 
--- a/src/balsamlift/peers/_messages.py
+++ b/src/balsamlift/peers/_messages.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from balsamlift.exceptions import PeerMessageError
-from balsamlift.peers._evacuations import EvacuationNews
+from balsamlift.peers._evacuations import EvacuationSnapshot
 from balsamlift.peers._hosts_list import ListEntry
 from balsamlift.peers._marks import STATES, UpstreamState
 from balsamlift.peers._shared_records import Position, RecordsAnswer
@@ -96,7 +96,7 @@
     counts_are_full: bool = False
     notes: list[UpstreamNote] = msgspec.field(default_factory=list)
     shared: Shared | None = None  # left out of nearly all messages
-    evacuations: EvacuationNews | None = None  # None: not known yet
+    evacuations: EvacuationSnapshot | None = None  # None: not known yet
     crash_reports: list[CrashReport] = msgspec.field(default_factory=list)
 
 
--- a/src/balsamlift/peers/_shared_records.py
+++ b/src/balsamlift/peers/_shared_records.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from balsamlift.clock import Clock
-from balsamlift.peers._evacuations import EvacuationNews, Evacuations
+from balsamlift.peers._evacuations import Evacuations, EvacuationSnapshot
 from balsamlift.peers._follower import Follower, TopicUpdate
 from balsamlift.peers._positions import StorePosition
 from balsamlift.peers._records import Record
@@ -49,7 +49,9 @@
     version_age_ms: int | None  # since it was the newest; None: unknown
     configuration: bytes = b""  # as operators wrote it
     listed: TopicUpdate | None = None
-    evacuations: EvacuationNews | None = None  # of the same age as the version
+    evacuations: EvacuationSnapshot | None = (
+        None  # of the same age as the version
+    )
     must_read: bool = False  # the configuration is too large to be sent
     # Offset in the configuration's topic before which every record is covered
     # by `version` and `evacuations`; None: unknown.
@@ -153,7 +155,7 @@
                 self._sources.copy, position
             ),
             listed=listed,
-            evacuations=self._sources.evacuations.news,
+            evacuations=self._sources.evacuations.snapshot,
             must_read=is_too_large(self._sources.copy.encoded),
             end=self._sources.configuration.end,
             incoming_end=self._sources.configuration.incoming_end,
--- a/src/balsamlift/platform/_watch.py
+++ b/src/balsamlift/platform/_watch.py
@@ -16,8 +16,8 @@
 from balsamlift.exceptions import HostsUnavailableError, StoreError
 from balsamlift.kernel import Kernel
 from balsamlift.peers import (
-    EvacuationNews,
     Evacuations,
+    EvacuationSnapshot,
     Follower,
     FreshnessLimits,
     ListEntry,
@@ -110,7 +110,7 @@
     def _offer_evacuations(self, values: dict[str, bytes]) -> None:
         if self.follower.end is not None:
             domains = decode_evacuations(values)
-            news = EvacuationNews(
+            news = EvacuationSnapshot(
                 self.follower.end, domains, self.follower.era
             )
             self._evacuations.offer(news, "store", age_ms=0)
--- a/tests/test_peers_evacuations.py
+++ b/tests/test_peers_evacuations.py
@@ -5,13 +5,13 @@
 import pytest
 from loguru import logger
 
-from balsamlift.peers import EvacuationNews, Evacuations
+from balsamlift.peers import Evacuations, EvacuationSnapshot
 
 SNAPSHOTS = [
-    EvacuationNews(1, []),
-    EvacuationNews(4, ["north"]),
-    EvacuationNews(5, ["north", "south"]),
-    EvacuationNews(9, ["south"]),
+    EvacuationSnapshot(1, []),
+    EvacuationSnapshot(4, ["north"]),
+    EvacuationSnapshot(5, ["north", "south"]),
+    EvacuationSnapshot(9, ["south"]),
 ]
 
 
@@ -36,10 +36,10 @@
             SNAPSHOTS[1],
             SNAPSHOTS[1],
             SNAPSHOTS[0],
-            EvacuationNews(6, []),
+            EvacuationSnapshot(6, []),
         ):
             evacuations.offer(snapshot, "peer", age_ms=40)
-        evacuations.offer(EvacuationNews(7, []), "store")
+        evacuations.offer(EvacuationSnapshot(7, []), "store")
     finally:
         logger.remove(sink)
     assert changes == [{"north"}, frozenset()]
@@ -51,15 +51,17 @@
 
 def test_there_is_no_snapshot_to_send_before_the_first() -> None:
     evacuations = Evacuations()
-    assert evacuations.news is None
+    assert evacuations.snapshot is None
     evacuations.offer(SNAPSHOTS[0], "store")
-    assert evacuations.news == SNAPSHOTS[0]
+    assert evacuations.snapshot == SNAPSHOTS[0]
 
 
 def test_a_later_era_supersedes_larger_offsets() -> None:
     """Guard against offsets that a restored store assigns a second time."""
     evacuations = Evacuations()
-    evacuations.offer(EvacuationNews(9, ["north"], era=1), "store")
-    assert evacuations.offer(EvacuationNews(4, ["south"], era=2), "store")
-    assert not evacuations.offer(EvacuationNews(12, ["north"], era=1), "peer")
+    evacuations.offer(EvacuationSnapshot(9, ["north"], era=1), "store")
+    assert evacuations.offer(EvacuationSnapshot(4, ["south"], era=2), "store")
+    assert not evacuations.offer(
+        EvacuationSnapshot(12, ["north"], era=1), "peer"
+    )
     assert evacuations.domains == {"south"}
--- a/tests/test_peers_follower.py
+++ b/tests/test_peers_follower.py
@@ -10,8 +10,8 @@
 from balsamlift.clock import SystemClock
 from balsamlift.exceptions import StoreError
 from balsamlift.peers import (
-    EvacuationNews,
     Evacuations,
+    EvacuationSnapshot,
     Follower,
     FreshnessLimits,
     Record,
@@ -98,7 +98,7 @@
         self.receiver.share(lambda: False)
         self.reader_copy, self.receiver_copy = Copy(), Copy()
         self.reader_evacuations = Evacuations()
-        self.reader_evacuations.offer(EvacuationNews(0, []), "store")
+        self.reader_evacuations.offer(EvacuationSnapshot(0, []), "store")
         self.receiver_evacuations = Evacuations()
         self.reader_records = self.shared_records(
             self.reader, self.reader_copy, self.reader_evacuations
@@ -332,10 +332,12 @@
 def test_evacuations_are_sent_with_the_configuration() -> None:
     async def test(world: World) -> None:
         await world.reader.follow()
-        world.reader_evacuations.offer(EvacuationNews(5, ["north"]), "store")
+        world.reader_evacuations.offer(
+            EvacuationSnapshot(5, ["north"]), "store"
+        )
         world.ask()
         assert world.receiver_evacuations.domains == {"north"}
-        world.reader_evacuations.offer(EvacuationNews(6, []), "store")
+        world.reader_evacuations.offer(EvacuationSnapshot(6, []), "store")
         world.ask()
         assert world.receiver_evacuations.domains == frozenset()
 
--- a/tests/test_peers_sharing.py
+++ b/tests/test_peers_sharing.py
@@ -14,7 +14,7 @@
 from balsamlift.peers import (
     ENTRY_ROLE,
     UPSTREAM_ROLE,
-    EvacuationNews,
+    EvacuationSnapshot,
     ListEntry,
     Peers,
     Upstreams,
@@ -234,11 +234,13 @@
 
 def test_a_refused_host_receives_evacuations() -> None:
     async def scenario(one: Host, two: Host) -> None:
-        one.upstreams.evacuations.offer(EvacuationNews(4, ["north"]), "store")
+        one.upstreams.evacuations.offer(
+            EvacuationSnapshot(4, ["north"]), "store"
+        )
         await until(lambda: two.upstreams.evacuations.domains)
         assert two.names() == set()
         assert len(two.upstreams.evacuated("p")) == 2
-        one.upstreams.evacuations.offer(EvacuationNews(7, []), "store")
+        one.upstreams.evacuations.offer(EvacuationSnapshot(7, []), "store")
         await until(lambda: two.names() == {"e1", "e2"})
         assert two.upstreams.evacuated("p") == []
 
@@ -249,7 +251,9 @@
     """A host that starts in an outage gets both from other hosts."""
 
     async def scenario(one: Host, two: Host) -> None:
-        one.upstreams.evacuations.offer(EvacuationNews(4, ["north"]), "store")
+        one.upstreams.evacuations.offer(
+            EvacuationSnapshot(4, ["north"]), "store"
+        )
         known: list[frozenset[str]] = []
         two.routing.on_change(
             lambda _: known.append(two.upstreams.evacuations.domains)
--- a/tests/test_relay_evacuated.py
+++ b/tests/test_relay_evacuated.py
@@ -13,7 +13,7 @@
     until_arrived,
 )
 
-from balsamlift.peers import EvacuationNews
+from balsamlift.peers import EvacuationSnapshot
 from balsamlift.testing.relay import (
     NAMES,
     RelayWorld,
@@ -33,7 +33,7 @@
 
 
 def evacuate(world: RelayWorld, end: int, *domains: str) -> None:
-    news = EvacuationNews(end, list(domains))
+    news = EvacuationSnapshot(end, list(domains))
     world.upstreams.evacuations.offer(news, "store")
 
 
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -16,8 +16,8 @@
 from balsamlift.exceptions import HistoryLostError, StoreError
 from balsamlift.metrics import Metrics
 from balsamlift.peers import (
-    EvacuationNews,
     Evacuations,
+    EvacuationSnapshot,
     FallbackReads,
     Follower,
     Record,
@@ -255,7 +255,7 @@
             values = self.configuration.values()
             assert self.configuration.end is not None
             self.evacuations.offer(
-                EvacuationNews(
+                EvacuationSnapshot(
                     self.configuration.end,
                     decode_evacuations(values),
                     self.configuration.era,
