--- a/bench/placing.py
+++ b/bench/placing.py
@@ -24,7 +24,7 @@
 import attrs
 
 from balsamlift.clock import SystemClock
-from balsamlift.peers import Peers, Place, Upstream, Upstreams
+from balsamlift.peers import HostRank, Peers, Upstream, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer, prefill_key
 from balsamlift.relay._placing import PlacingPolicy
@@ -127,9 +127,9 @@
     def tell_counts(self) -> None:
         """Tell nobody."""
 
-    def place_for(self, subject: str) -> Place:
+    def place_for(self, subject: str) -> HostRank:
         """Return the first place of one."""
-        return Place(0, 1)
+        return HostRank(0, 1)
 
 
 class Engines:
--- a/src/balsamlift/peers/__init__.py
+++ b/src/balsamlift/peers/__init__.py
@@ -4,6 +4,7 @@
 from balsamlift.peers._evacuations import Evacuations, EvacuationSnapshot
 from balsamlift.peers._fallback_reads import FallbackReads
 from balsamlift.peers._follower import Follower, FreshnessLimits
+from balsamlift.peers._host_ranks import HostRank
 from balsamlift.peers._hosts_list import (
     ENTRY_ROLE,
     UPSTREAM_ROLE,
@@ -15,7 +16,6 @@
 from balsamlift.peers._membership import Peers
 from balsamlift.peers._messages import CrashReport
 from balsamlift.peers._peer import Peer
-from balsamlift.peers._readers import Place
 from balsamlift.peers._records import Record, RecordBatch
 from balsamlift.peers._shared_records import SharedRecords, Sources
 from balsamlift.peers._upstream import EntryHost, Upstream
@@ -33,10 +33,10 @@
     "FallbackReads",
     "Follower",
     "FreshnessLimits",
+    "HostRank",
     "ListEntry",
     "Peer",
     "Peers",
-    "Place",
     "Record",
     "RecordBatch",
     "SharedRecords",
--- a/src/balsamlift/peers/_gathering.py
+++ b/src/balsamlift/peers/_gathering.py
@@ -24,13 +24,13 @@
 from balsamlift.exceptions import PeerMessageError
 from balsamlift.metrics import Metrics
 from balsamlift.peers._gatherer import MOST_BYTES, Gatherer
+from balsamlift.peers._host_ranks import rank_hosts
 from balsamlift.peers._messages import (
     CountsSums,
     CountsUpdate,
     decode_sums,
     encode_counts,
 )
-from balsamlift.peers._readers import rank_hosts
 from balsamlift.peers._shared_records import Position, SharedRecords
 
 log = logger.bind(part="peers")
--- a/src/balsamlift/peers/_readers.py
+++ b/src/balsamlift/peers/_host_ranks.py
@@ -23,15 +23,15 @@
 
 
 @attrs.frozen
-class Place:
+class HostRank:
     """Hold the position of a host among all live ones, counted from 0."""
 
     position: int
     hosts: int
 
 
-def find_place(own: str, others: Collection[str], subject: str) -> Place:
-    """Return the place of `own` in the order of hosts for `subject`.
+def find_rank(own: str, others: Collection[str], subject: str) -> HostRank:
+    """Return the rank of `own` in the order of hosts for `subject`.
 
     Each subject has its own order (rendezvous hashing), the same on all
     hosts. Tasks that only a few hosts do for each subject are so distributed
@@ -39,7 +39,7 @@
     """
     own_rank = _rank_for(own, subject)
     before = sum(_rank_for(other, subject) < own_rank for other in others)
-    return Place(before, len(others) + 1)
+    return HostRank(before, len(others) + 1)
 
 
 def _rank_for(host: str, subject: str) -> tuple[int, str]:
--- a/src/balsamlift/peers/_membership.py
+++ b/src/balsamlift/peers/_membership.py
@@ -19,6 +19,7 @@
 from balsamlift.peers._configuration import ConfigurationFinder
 from balsamlift.peers._crash_reports import CrashReports
 from balsamlift.peers._heard import HeardPeers
+from balsamlift.peers._host_ranks import HostRank, find_rank, is_reader
 from balsamlift.peers._hosts_view import HostsHandler
 from balsamlift.peers._link import Draft, Link
 from balsamlift.peers._links import Links
@@ -29,7 +30,6 @@
 from balsamlift.peers._messages import Member
 from balsamlift.peers._notes import Notes
 from balsamlift.peers._peer import Peer, describe
-from balsamlift.peers._readers import Place, find_place, is_reader
 from balsamlift.peers._receiver import Receiver
 from balsamlift.peers._shared_records import SharedRecords
 from balsamlift.peers._sharing import Sharing
@@ -222,16 +222,16 @@
         """Tell whether hosts are so few that each hears all others."""
         return self._load.hears_all
 
-    def place_for(self, subject: str) -> Place:
+    def place_for(self, subject: str) -> HostRank:
         """Return this host's place among the live ones, for that subject."""
         others = [
             member.host
             for member in self._members.others()
             if member.state == "live"
         ]
-        return find_place(self.own.host, others, subject)
+        return find_rank(self.own.host, others, subject)
 
-    def known_place_for(self, subject: str) -> Place:
+    def known_place_for(self, subject: str) -> HostRank:
         """Return this host's place among all known, also those now silent.
 
         Hosts that are cut off from one another still agree on these.
@@ -239,7 +239,7 @@
         others = {member.host for member in self._members.others()}
         others |= {host.host for host in self._upstreams.entry_hosts()}
         others.discard(self.own.host)
-        return find_place(self.own.host, others, subject)
+        return find_rank(self.own.host, others, subject)
 
     def note_upstream(self, name: str, state: UpstreamState) -> None:
         """Tell peers at once that an upstream is leaving or dead."""
--- a/src/balsamlift/relay/_cold_starts.py
+++ b/src/balsamlift/relay/_cold_starts.py
@@ -13,7 +13,7 @@
 import attrs
 
 from balsamlift.clock import Clock
-from balsamlift.peers import Place, Upstream
+from balsamlift.peers import HostRank, Upstream
 
 # Hosts that know other hosts divide the bound differently: those that are
 # cut off, and those that have just heard of new ones. So many such groups
@@ -35,7 +35,7 @@
 
 
 def host_share(
-    place: Place, tolerated_per_s: float, limits: ColdLimits
+    place: HostRank, tolerated_per_s: float, limits: ColdLimits
 ) -> int:
     """Return what the host at that place may send one upstream in a second."""
     bound = int(tolerated_per_s * limits.factor + limits.extra_per_s)
@@ -52,7 +52,7 @@
         self,
         limits: ColdLimits | None,
         tolerated_per_s: Callable[[str], float | None],
-        place_for: Callable[[str], Place],
+        place_for: Callable[[str], HostRank],
         clock: Clock,
     ) -> None:
         """Bound nothing where there are no `limits`.
--- a/src/balsamlift/relay/_words.py
+++ b/src/balsamlift/relay/_words.py
@@ -14,7 +14,7 @@
 import attrs
 from loguru import logger
 
-from balsamlift.peers import Place
+from balsamlift.peers import HostRank
 
 log = logger.bind(part="upstreams")
 
@@ -72,7 +72,7 @@
         return share
 
 
-def is_to_avoid(verdict: Verdict, place: Callable[[], Place]) -> bool:
+def is_to_avoid(verdict: Verdict, place: Callable[[], HostRank]) -> bool:
     """Tell whether a host at `place` is to send nothing to an upstream."""
     if max(verdict.failing, verdict.on_trial) < FEWEST_FAILING:
         return False
@@ -106,7 +106,7 @@
         tell: Callable[[str, int], None],
         tell_now: Callable[[], None],
         told: Callable[[str], int],
-        place_for: Callable[[str], Place],
+        place_for: Callable[[str], HostRank],
     ) -> None:
         """Tell counts by `tell`; `told` returns the sum of other hosts'.
 
--- a/tests/_shared_counts.py
+++ b/tests/_shared_counts.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections import Counter
 
-from balsamlift.peers import CountsBasis, Place
-from balsamlift.peers._readers import find_place
+from balsamlift.peers import CountsBasis, HostRank
+from balsamlift.peers._host_ranks import find_rank
 
 TOLD_S = 0.004  # until the other hosts know what one holds
 
@@ -56,7 +56,7 @@
         await asyncio.sleep(TOLD_S)
         self._others = self._counts.sums(self._host)
 
-    def place_for(self, subject: str) -> Place:
+    def place_for(self, subject: str) -> HostRank:
         hosts = [str(host) for host in range(self._counts.hosts)]
         hosts.remove(str(self._host))
-        return find_place(str(self._host), hosts, subject)
+        return find_rank(str(self._host), hosts, subject)
--- a/tests/test_peers_gathering.py
+++ b/tests/test_peers_gathering.py
@@ -26,8 +26,8 @@
     Gathering,
     GatheringHost,
 )
+from balsamlift.peers._host_ranks import is_reader, rank_hosts
 from balsamlift.peers._messages import CountsUpdate, encode_counts
-from balsamlift.peers._readers import is_reader, rank_hosts
 from balsamlift.peers._shared_records import SharedRecords
 
 DEADLINE_S = 20.0
--- a/tests/test_relay_cold_starts.py
+++ b/tests/test_relay_cold_starts.py
@@ -9,8 +9,8 @@
 from _relay_bench import USAGE, run, stream
 from _virtual_time import LoopClock, run_virtual
 
-from balsamlift.peers import Place, Upstream
-from balsamlift.peers._readers import find_place
+from balsamlift.peers import HostRank, Upstream
+from balsamlift.peers._host_ranks import find_rank
 from balsamlift.relay import ColdLimits
 from balsamlift.relay._cold_starts import (
     GROUPS,
@@ -90,9 +90,9 @@
         loop = asyncio.get_running_loop()
         own = f"h{number}"
 
-        def place(subject: str) -> Place:
+        def place(subject: str) -> HostRank:
             known = set(view(number, loop.time())) - {own}
-            return find_place(own, known, subject)
+            return find_rank(own, known, subject)
 
         cold_starts = ColdStarts(
             LIMITS, lambda pool: tolerated_per_s, place, LoopClock()
@@ -119,7 +119,7 @@
     hosts: int, tolerated_per_s: float
 ) -> None:
     shares = [
-        host_share(Place(position, hosts), tolerated_per_s, LIMITS)
+        host_share(HostRank(position, hosts), tolerated_per_s, LIMITS)
         for position in range(hosts)
     ]
     bound = tolerated_per_s * LIMITS.factor + LIMITS.extra_per_s
@@ -128,8 +128,8 @@
 
 def test_nothing_is_bound_without_limits_or_once_it_is_warm() -> None:
     async def test() -> None:
-        def place(subject: str) -> Place:
-            return Place(0, 1)
+        def place(subject: str) -> HostRank:
+            return HostRank(0, 1)
 
         cold = upstream(cold_until_s=50.0)
         free = ColdStarts(None, lambda pool: 0.0, place, LoopClock())
--- a/tests/test_relay_filling.py
+++ b/tests/test_relay_filling.py
@@ -17,7 +17,7 @@
 from _listed_engines import SCOPE, engines_of_one_domain
 
 from balsamlift.clock import SystemClock
-from balsamlift.peers import CountsBasis, Peers, Place, Upstreams
+from balsamlift.peers import CountsBasis, HostRank, Peers, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer
 from balsamlift.relay._placing import STANDARD
@@ -47,8 +47,8 @@
 
     counts_basis: CountsBasis = "heard"
 
-    def place_for(self, subject: str) -> Place:
-        return Place(0, 1)
+    def place_for(self, subject: str) -> HostRank:
+        return HostRank(0, 1)
 
 
 @attrs.define(eq=False)
--- a/tests/test_relay_rooms.py
+++ b/tests/test_relay_rooms.py
@@ -9,7 +9,7 @@
 from _listed_engines import SCOPE, ListedEngines
 
 from balsamlift.clock import SystemClock
-from balsamlift.peers import CountsBasis, Peers, Place, Upstreams
+from balsamlift.peers import CountsBasis, HostRank, Peers, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer, backup_key
 from balsamlift.relay._placing import STANDARD
@@ -35,8 +35,8 @@
 
     counts_basis: CountsBasis = "heard"
 
-    def place_for(self, subject: str) -> Place:
-        return Place(0, 1)
+    def place_for(self, subject: str) -> HostRank:
+        return HostRank(0, 1)
 
     async def refresh_counts(self) -> None:
         pass
--- a/tests/test_relay_words.py
+++ b/tests/test_relay_words.py
@@ -12,7 +12,7 @@
 from _virtual_time import LoopClock, run_virtual
 from loguru import logger
 
-from balsamlift.peers import Peers, Place, Upstreams
+from balsamlift.peers import HostRank, Peers, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer
 from balsamlift.relay._rooms import Rooms
@@ -211,7 +211,7 @@
     failing: int, serving: int, on_trial: int, position: int, expected: bool
 ) -> None:
     verdict = Verdict(failing, serving, on_trial)
-    assert is_to_avoid(verdict, lambda: Place(position, 20)) is expected
+    assert is_to_avoid(verdict, lambda: HostRank(position, 20)) is expected
 
 
 class Told:
@@ -225,7 +225,7 @@
             self.counts.__setitem__,
             self._tell_now,
             self.others.__getitem__,
-            lambda name: Place(0, 2),
+            lambda name: HostRank(0, 2),
         )
 
     def _tell_now(self) -> None:
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -26,9 +26,9 @@
     Sources,
 )
 from balsamlift.peers._gathering import ANSWER_MS, Gathering, GatheringHost
+from balsamlift.peers._host_ranks import is_reader, rank_hosts
 from balsamlift.peers._membership import READERS_OF_MANY
 from balsamlift.peers._messages import CountsSums, CountsUpdate
-from balsamlift.peers._readers import is_reader, rank_hosts
 from balsamlift.peers._shared_records import is_too_large
 from balsamlift.platform._decode import decode_evacuations
 from balsamlift.platform._settings import NodeSettings, decode_node_settings
