--- a/src/balsamlift/peers/__init__.py
+++ b/src/balsamlift/peers/__init__.py
@@ -12,9 +12,9 @@
 )
 from balsamlift.peers._list_reader import UpstreamList
 from balsamlift.peers._load import CountsBasis
-from balsamlift.peers._marks import UpstreamState
 from balsamlift.peers._membership import Peers
 from balsamlift.peers._messages import CrashReport
+from balsamlift.peers._observed_states import UpstreamState
 from balsamlift.peers._peer import Peer
 from balsamlift.peers._records import Record, RecordBatch
 from balsamlift.peers._shared_records import SharedRecords, Sources
--- a/src/balsamlift/peers/_membership.py
+++ b/src/balsamlift/peers/_membership.py
@@ -25,10 +25,10 @@
 from balsamlift.peers._links import Links
 from balsamlift.peers._listener import Listener
 from balsamlift.peers._load import CountsBasis, Load, ip_of
-from balsamlift.peers._marks import UpstreamState
 from balsamlift.peers._members import Members
 from balsamlift.peers._messages import Member
 from balsamlift.peers._notes import Notes
+from balsamlift.peers._observed_states import UpstreamState
 from balsamlift.peers._peer import Peer, describe
 from balsamlift.peers._receiver import Receiver
 from balsamlift.peers._shared_records import SharedRecords
--- a/src/balsamlift/peers/_messages.py
+++ b/src/balsamlift/peers/_messages.py
@@ -14,7 +14,7 @@
 from balsamlift.exceptions import PeerMessageError
 from balsamlift.peers._evacuations import EvacuationSnapshot
 from balsamlift.peers._hosts_list import ListEntry
-from balsamlift.peers._marks import STATES, UpstreamState
+from balsamlift.peers._observed_states import STATES, UpstreamState
 from balsamlift.peers._shared_records import Position, RecordsAnswer
 
 _Message = TypeVar("_Message")
--- a/src/balsamlift/peers/_probes.py
+++ b/src/balsamlift/peers/_probes.py
@@ -15,7 +15,7 @@
 from balsamlift._http import Answer, CallError, HttpClient
 from balsamlift._tasks import end_task
 from balsamlift.clock import Clock
-from balsamlift.peers._marks import LEAVING_HOLD_S, UpstreamState
+from balsamlift.peers._observed_states import LEAVING_HOLD_S, UpstreamState
 from balsamlift.peers._upstream import Upstream
 
 log = logger.bind(part="probes")
--- a/src/balsamlift/peers/_upstream.py
+++ b/src/balsamlift/peers/_upstream.py
@@ -7,7 +7,7 @@
 import attrs
 
 from balsamlift.peers._hosts_list import UPSTREAM_ROLE, ListEntry
-from balsamlift.peers._marks import STATES, UpstreamState
+from balsamlift.peers._observed_states import STATES, UpstreamState
 from balsamlift.settings import PoolSettings
 
 
--- a/src/balsamlift/peers/_upstreams.py
+++ b/src/balsamlift/peers/_upstreams.py
@@ -21,7 +21,7 @@
 )
 from balsamlift.peers._incarnations import take_latest
 from balsamlift.peers._list_reader import ListReader, UpstreamList
-from balsamlift.peers._marks import (
+from balsamlift.peers._observed_states import (
     ObservedStates,
     UpstreamState,
     more_pessimistic,
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -15,7 +15,7 @@
 from balsamlift.metrics import Metrics
 from balsamlift.operators import JsonHandler, OperatorsServer
 from balsamlift.peers import Upstream, Upstreams
-from balsamlift.peers._marks import (
+from balsamlift.peers._observed_states import (
     LEAVING_HOLD_S,
     UNREPORTED_HOLD_S,
     ObservedStates,
