--- a/src/balsamlift/peers/_gathering.py
+++ b/src/balsamlift/peers/_gathering.py
@@ -200,7 +200,7 @@
             if sums is None:
                 self._avoid(found)
             else:
-                self._records.take(sums.records, asked_s)
+                self._records.apply_answer(sums.records, asked_s)
 
     async def _tell_host(
         self, found: GatheringHost, wants_sums: bool
@@ -214,7 +214,7 @@
     def _take_sums(
         self, sums: CountsSums, asked_s: float, wants_sums: bool
     ) -> None:
-        self._records.take(sums.records, asked_s)
+        self._records.apply_answer(sums.records, asked_s)
         if wants_sums:
             self._sums = sums.counts
             self._summed_s = self._clock.monotonic()
--- a/src/balsamlift/peers/_receiver.py
+++ b/src/balsamlift/peers/_receiver.py
@@ -53,7 +53,7 @@
         if message.evacuations is not None:
             self._upstreams.evacuations.offer(message.evacuations, "peer")
         self._on_version(message.offset, message.host)
-        self._sharing.take(message.shared, self._upstreams)
+        self._sharing.apply(message.shared, self._upstreams)
         self._correct(message)
         self._answer(message)
 
--- a/src/balsamlift/peers/_shared_records.py
+++ b/src/balsamlift/peers/_shared_records.py
@@ -162,7 +162,9 @@
             era=self._sources.configuration.era,
         )
 
-    def take(self, answer: RecordsAnswer | None, requested_s: float) -> None:
+    def apply_answer(
+        self, answer: RecordsAnswer | None, requested_s: float
+    ) -> None:
         """Apply the answer to a request sent at that time."""
         if answer is None or self._sources is None:
             return
--- a/src/balsamlift/peers/_sharing.py
+++ b/src/balsamlift/peers/_sharing.py
@@ -61,7 +61,7 @@
             return None
         return Shared(wants_list, configuration, listed)
 
-    def take(self, shared: Shared | None, upstreams: Upstreams) -> None:
+    def apply(self, shared: Shared | None, upstreams: Upstreams) -> None:
         """Apply what a peer passed on, if anything."""
         if shared is None:
             return
--- a/tests/test_peers_follower.py
+++ b/tests/test_peers_follower.py
@@ -128,7 +128,7 @@
         """Have the receiver ask the reader."""
         requested_s = self.clock.monotonic()
         answer = self.reader_records.answer(self.receiver_records.position())
-        self.receiver_records.take(answer, requested_s)
+        self.receiver_records.apply_answer(answer, requested_s)
         return answer
 
 
@@ -354,11 +354,11 @@
         answer = world.reader_records.answer(world.receiver_records.position())
         assert answer is not None
         without_evacuations = msgspec.structs.replace(answer, evacuations=None)
-        world.receiver_records.take(
+        world.receiver_records.apply_answer(
             without_evacuations, world.clock.monotonic()
         )
         assert world.receiver.age_s > 1
-        world.receiver_records.take(answer, world.clock.monotonic())
+        world.receiver_records.apply_answer(answer, world.clock.monotonic())
         assert world.receiver.age_s < 1
 
     run(test)
