--- a/src/balsamlift/peers/_membership.py
+++ b/src/balsamlift/peers/_membership.py
@@ -303,7 +303,7 @@
         All of few hosts do. Of many, some read for all, and so does any
         host that others ask, whatever it thinks of its own rank.
         """
-        if self.hears_all or self.records.is_asked:
+        if self.hears_all or self.records.has_recent_requests:
             return True
         return self.reads_for_others(READERS_OF_MANY)
 
--- a/src/balsamlift/peers/_shared_records.py
+++ b/src/balsamlift/peers/_shared_records.py
@@ -110,7 +110,7 @@
         self._sources = sources
 
     @property
-    def is_asked(self) -> bool:
+    def has_recent_requests(self) -> bool:
         """Return whether other hosts depend on the answers of this one."""
         if self._last_request_s is None:
             return False
--- a/tests/test_peers_follower.py
+++ b/tests/test_peers_follower.py
@@ -260,11 +260,11 @@
 
 def test_a_host_is_asked_for_a_while_after_a_request() -> None:
     async def test(world: World) -> None:
-        assert not world.reader_records.is_asked
+        assert not world.reader_records.has_recent_requests
         world.ask()
-        assert world.reader_records.is_asked
+        assert world.reader_records.has_recent_requests
         world.clock.ahead_s = 10.0
-        assert not world.reader_records.is_asked
+        assert not world.reader_records.has_recent_requests
 
     run(test)
 
@@ -273,7 +273,7 @@
     records = SharedRecords(SystemClock())
     assert records.position() is None
     assert records.answer(Position(0, None)) is None
-    assert not records.is_asked
+    assert not records.has_recent_requests
 
 
 def test_the_rate_of_configurations_to_hosts_that_lag_is_limited() -> None:
--- a/tests/test_peers_gathering.py
+++ b/tests/test_peers_gathering.py
@@ -284,7 +284,7 @@
     follower = Follower(Topic(not is_first), "t", clock, pace)
     follower.confirm(clock.monotonic())  # none has to read for a while
     records = gathering._records
-    follower.share(lambda: records.is_asked)
+    follower.share(lambda: records.has_recent_requests)
     records.connect(
         Sources(
             configuration=follower,
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -243,7 +243,7 @@
     def _reads(self, cluster: "Cluster") -> bool:
         others = {each.host for each in cluster.others(self.name)}
         is_ranked = is_reader(self.name, others, READERS_OF_MANY)
-        return is_ranked or self.records.is_asked
+        return is_ranked or self.records.has_recent_requests
 
     async def follow_configuration(self) -> None:
         while True:
