--- a/src/balsamlift/peers/_shared_records.py
+++ b/src/balsamlift/peers/_shared_records.py
@@ -85,7 +85,7 @@
     listed: Follower
     copy: ConfigurationCopy
     offer: Callable[[bytes], None]  # takes a configuration that may be newer
-    is_settled: Callable[[], bool]  # whether the list is complete
+    is_list_complete: Callable[[], bool]  # whether the list is complete
     evacuations: Evacuations  # from the topic of the configuration
     # Takes the version of each answer.
     note_version: Callable[[int], None] = _ignore_version
@@ -143,7 +143,7 @@
             return None
         self._last_request_s = self._clock.monotonic()
         listed = None
-        if self._sources.is_settled():
+        if self._sources.is_list_complete():
             listed = self._sources.listed.update_since(
                 position.listed, position.listed_era
             )
--- a/src/balsamlift/peers/_sharing.py
+++ b/src/balsamlift/peers/_sharing.py
@@ -53,7 +53,7 @@
         state that the peer sent.
         """
         configuration = self._overdue_configuration(host, heard, offset)
-        wants_list = upstreams.is_cut_off
+        wants_list = upstreams.is_list_unavailable
         listed = []
         if heard is not None and heard.wants_list:
             listed = upstreams.entries_to_share()
--- a/src/balsamlift/peers/_upstreams.py
+++ b/src/balsamlift/peers/_upstreams.py
@@ -217,7 +217,7 @@
             self._notify_mark(known.listed, "leaving")
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_list_unavailable(self) -> bool:
         """Return whether the last read of the list failed."""
         return self._reader.is_down
 
@@ -229,12 +229,12 @@
         self._reader.suspend_removals()
 
     @property
-    def is_settled(self) -> bool:
+    def is_list_complete(self) -> bool:
         """Return whether the list is complete.
 
         It is not during an outage, and during the grace period after it.
         """
-        return not self.is_cut_off and self._reader.can_remove
+        return not self.is_list_unavailable and self._reader.can_remove
 
     def entries_to_share(self) -> list[ListEntry]:
         """Return the upstream entries for a peer that cannot read the list.
@@ -242,7 +242,7 @@
         Returns an empty list if this host cannot read it either, because its
         entries are outdated.
         """
-        return [] if self.is_cut_off else list(self._entries)
+        return [] if self.is_list_unavailable else list(self._entries)
 
     def apply_peer_list(self, entries: list[ListEntry]) -> None:
         """Apply the list that a peer read, if this host cannot read it.
@@ -250,7 +250,7 @@
         Upstreams that are missing from it are kept: peers report those that
         are no longer listed as leaving.
         """
-        if not self.is_cut_off:
+        if not self.is_list_unavailable:
             return
         changed = self._apply_listed(self._join_upstreams(entries))
         self._update_cold_times(entries)
--- a/src/balsamlift/platform/_daemon.py
+++ b/src/balsamlift/platform/_daemon.py
@@ -115,7 +115,7 @@
             listed=self._listed.upstreams,
             copy=self._routing,
             offer=lambda data: offer(self._routing, data, "peer"),
-            is_settled=lambda: self.upstreams.is_settled,
+            is_list_complete=lambda: self.upstreams.is_list_complete,
             evacuations=self.upstreams.evacuations,
             note_version=lambda version: self._routing.note_version(
                 version, "peer"
--- a/src/balsamlift/relay/_doubts.py
+++ b/src/balsamlift/relay/_doubts.py
@@ -48,7 +48,7 @@
     async def _keep_asking(self) -> None:
         while True:
             await self._clock.sleep(ASK_S)
-            if not self._upstreams.is_cut_off:
+            if not self._upstreams.is_list_unavailable:
                 continue
             asked = [
                 upstream
--- a/tests/test_peers_follower.py
+++ b/tests/test_peers_follower.py
@@ -106,7 +106,7 @@
         self.receiver_records = self.shared_records(
             self.receiver, self.receiver_copy, self.receiver_evacuations
         )
-        self.is_settled = True
+        self.is_list_complete = True
 
     def shared_records(
         self, follower: Follower, copy: Copy, evacuations: Evacuations
@@ -118,7 +118,7 @@
                 listed=follower,
                 copy=copy,
                 offer=self.offered.append,
-                is_settled=lambda: self.is_settled,
+                is_list_complete=lambda: self.is_list_complete,
                 evacuations=evacuations,
             )
         )
@@ -229,7 +229,7 @@
     async def test(world: World) -> None:
         world.reader_store.append("a", b"1")
         await world.reader.follow()
-        world.is_settled = False
+        world.is_list_complete = False
         answer = world.ask()
         assert answer is not None
         assert answer.listed is None
@@ -251,7 +251,7 @@
             receiver_version,
             reader_version,
         )
-        world.is_settled = False
+        world.is_list_complete = False
         world.ask()
         assert (world.receiver.age_s < 1) is is_confirmed
 
@@ -350,7 +350,7 @@
     async def test(world: World) -> None:
         await world.reader.follow()
         world.receiver_copy.offset = world.reader_copy.offset = 3
-        world.is_settled = False
+        world.is_list_complete = False
         answer = world.reader_records.answer(world.receiver_records.position())
         assert answer is not None
         without_evacuations = msgspec.structs.replace(answer, evacuations=None)
@@ -372,7 +372,7 @@
         await world.reader.follow()
         world.ask()
         assert await world.receiver.follow()
-        world.is_settled = False  # no records are sent
+        world.is_list_complete = False  # no records are sent
         world.reader_copy.encoded = bytes(int(SEND_BURST_BYTES) + 1)
         world.ask()
         following = asyncio.create_task(world.receiver.follow())
--- a/tests/test_peers_gathering.py
+++ b/tests/test_peers_gathering.py
@@ -291,7 +291,7 @@
             listed=follower,
             copy=Unchanged(),
             offer=lambda data: None,
-            is_settled=lambda: True,
+            is_list_complete=lambda: True,
             evacuations=Evacuations(),
         )
     )
--- a/tests/test_peers_sharing.py
+++ b/tests/test_peers_sharing.py
@@ -165,7 +165,7 @@
 def test_a_refused_host_receives_new_upstreams() -> None:
     async def scenario(one: Host, two: Host) -> None:
         two.list.is_down = True
-        await until(lambda: two.upstreams.is_cut_off)
+        await until(lambda: two.upstreams.is_list_unavailable)
         one.list.entries += [engine("e3")]
         await until(lambda: "e3" in two.names())
 
@@ -175,7 +175,7 @@
 def test_a_refused_host_removes_upstreams() -> None:
     async def scenario(one: Host, two: Host) -> None:
         two.list.is_down = True
-        await until(lambda: two.upstreams.is_cut_off)
+        await until(lambda: two.upstreams.is_list_unavailable)
         one.list.entries = [e for e in one.list.entries if e.name != "e1"]
         await until(lambda: two.names() == {"e2"})
 
@@ -204,7 +204,7 @@
     async def scenario(one: Host, two: Host) -> None:
         for host in (one, two):
             host.list.is_down = True
-            await until(lambda host=host: host.upstreams.is_cut_off)
+            await until(lambda host=host: host.upstreams.is_list_unavailable)
         for host in (one, two):
             host.list.entries = host.list.entries[:2]
             host.list.is_down = False
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -215,7 +215,7 @@
                 listed=self.listed,
                 copy=self.copy,
                 offer=self.copy.offer,
-                is_settled=lambda: True,
+                is_list_complete=lambda: True,
                 evacuations=self.evacuations,
                 snapshot_records=self._snapshot_records,
             )
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -339,12 +339,12 @@
     async def scenario(world: World) -> None:
         await until(lambda: world.fakes.reads > 3)
         world.fakes.status = 503
-        await until(lambda: world.upstreams.is_cut_off)
+        await until(lambda: world.upstreams.is_list_unavailable)
         before = world.fakes.reads
         await asyncio.sleep(2.0)  # forty reads otherwise
         # Delays of 25 to 50 ms, doubled each time, up to 800 ms.
         assert world.fakes.reads - before <= 12
         world.fakes.status = 200
-        await until(lambda: not world.upstreams.is_cut_off)
+        await until(lambda: not world.upstreams.is_list_unavailable)
 
     run(scenario, two_engines)
