--- a/src/balsamlift/peers/__init__.py
+++ b/src/balsamlift/peers/__init__.py
@@ -17,7 +17,7 @@
 from balsamlift.peers._observed_states import UpstreamState
 from balsamlift.peers._peer import Peer
 from balsamlift.peers._records import Record, RecordBatch
-from balsamlift.peers._shared_records import SharedRecords, Sources
+from balsamlift.peers._shared_records import RecordSources, SharedRecords
 from balsamlift.peers._upstream import EntryHost, Upstream
 from balsamlift.peers._upstreams import Upstreams
 
@@ -39,8 +39,8 @@
     "Peers",
     "Record",
     "RecordBatch",
+    "RecordSources",
     "SharedRecords",
-    "Sources",
     "Upstream",
     "UpstreamList",
     "UpstreamState",
--- a/src/balsamlift/peers/_shared_records.py
+++ b/src/balsamlift/peers/_shared_records.py
@@ -78,7 +78,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Sources:
+class RecordSources:
     """Hold what answers are made from, and what received ones go to."""
 
     configuration: Follower
@@ -100,12 +100,12 @@
     def __init__(self, clock: Clock) -> None:
         """Start without sources: nothing is answered until `connect`."""
         self._clock = clock
-        self._sources: Sources | None = None
+        self._sources: RecordSources | None = None
         self._last_request_s: float | None = None
         self._send_budget_bytes = SEND_BURST_BYTES
         self._refilled_s = clock.monotonic()
 
-    def connect(self, sources: Sources) -> None:
+    def connect(self, sources: RecordSources) -> None:
         """Use these sources from now on."""
         self._sources = sources
 
--- a/src/balsamlift/platform/_daemon.py
+++ b/src/balsamlift/platform/_daemon.py
@@ -17,7 +17,13 @@
 from balsamlift.kernel import Kernel
 from balsamlift.metrics import Metrics
 from balsamlift.operators import OperatorsServer
-from balsamlift.peers import FallbackReads, Peers, Record, Sources, Upstreams
+from balsamlift.peers import (
+    FallbackReads,
+    Peers,
+    Record,
+    RecordSources,
+    Upstreams,
+)
 from balsamlift.platform._decode import HostRecord, encode_operator_records
 from balsamlift.platform._engines import PlatformEngines
 from balsamlift.platform._settings import NodeSettings, load_node_settings
@@ -110,7 +116,7 @@
 
     def _share_reading(self) -> None:
         """Have few hosts read the store for all, once there are many."""
-        sources = Sources(
+        sources = RecordSources(
             configuration=self._configuration.follower,
             listed=self._listed.upstreams,
             copy=self._routing,
--- a/tests/test_peers_follower.py
+++ b/tests/test_peers_follower.py
@@ -16,8 +16,8 @@
     FreshnessLimits,
     Record,
     RecordBatch,
+    RecordSources,
     SharedRecords,
-    Sources,
 )
 from balsamlift.peers._fallback_reads import RETRY_MS, YIELD_S, FallbackReads
 from balsamlift.peers._follower import TopicUpdate
@@ -113,7 +113,7 @@
     ) -> SharedRecords:
         records = SharedRecords(self.clock)
         records.connect(
-            Sources(
+            RecordSources(
                 configuration=follower,
                 listed=follower,
                 copy=copy,
--- a/tests/test_peers_gathering.py
+++ b/tests/test_peers_gathering.py
@@ -17,7 +17,7 @@
     FreshnessLimits,
     Record,
     RecordBatch,
-    Sources,
+    RecordSources,
 )
 from balsamlift.peers._gatherer import KEEP_S, Gatherer
 from balsamlift.peers._gathering import (
@@ -286,7 +286,7 @@
     records = gathering._records
     follower.share(lambda: records.has_recent_requests)
     records.connect(
-        Sources(
+        RecordSources(
             configuration=follower,
             listed=follower,
             copy=Unchanged(),
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -22,8 +22,8 @@
     Follower,
     Record,
     RecordBatch,
+    RecordSources,
     SharedRecords,
-    Sources,
 )
 from balsamlift.peers._gathering import ANSWER_MS, Gathering, GatheringHost
 from balsamlift.peers._host_ranks import is_reader, rank_hosts
@@ -210,7 +210,7 @@
         )
         self.records = SharedRecords(clock)
         self.records.connect(
-            Sources(
+            RecordSources(
                 configuration=self.configuration,
                 listed=self.listed,
                 copy=self.copy,
