--- a/bench/list_cost.py
+++ b/bench/list_cost.py
@@ -16,7 +16,7 @@
 
 from balsamlift.peers import ListEntry, Upstream
 from balsamlift.peers._incarnations import take_latest
-from balsamlift.peers._upstream import join_upstream
+from balsamlift.peers._upstream import build_upstream
 from balsamlift.platform._decode import decode_upstream
 from balsamlift.platform._watch import _Decoded
 
@@ -55,7 +55,7 @@
 
 
 def _join(entries: list[ListEntry]) -> list[Upstream]:
-    joined = [join_upstream(entry, {}) for entry in entries]
+    joined = [build_upstream(entry, {}) for entry in entries]
     return [upstream for upstream in joined if upstream is not None]
 
 
--- a/src/balsamlift/peers/_upstream.py
+++ b/src/balsamlift/peers/_upstream.py
@@ -49,7 +49,7 @@
     state: str = "live"
 
 
-def join_upstream(
+def build_upstream(
     entry: ListEntry, pools: Mapping[str, PoolSettings]
 ) -> Upstream | None:
     """Return the upstream of an entry, or None for other roles and pools.
@@ -76,7 +76,7 @@
     )
 
 
-def join_entry_host(entry: ListEntry) -> EntryHost:
+def build_entry_host(entry: ListEntry) -> EntryHost:
     """Return the entry host that an entry describes."""
     return EntryHost(
         host=entry.name,
--- a/src/balsamlift/peers/_upstreams.py
+++ b/src/balsamlift/peers/_upstreams.py
@@ -30,9 +30,9 @@
 from balsamlift.peers._upstream import (
     EntryHost,
     Upstream,
+    build_entry_host,
+    build_upstream,
     incarnation_name,
-    join_entry_host,
-    join_upstream,
 )
 from balsamlift.settings import Settings
 from balsamlift.timeline import Timeline
@@ -252,7 +252,7 @@
         """
         if not self.is_list_unavailable:
             return
-        changed = self._apply_listed(self._join_upstreams(entries))
+        changed = self._apply_listed(self._build_upstreams(entries))
         self._update_cold_times(entries)
         if changed:
             self._notify_change()
@@ -356,11 +356,11 @@
                 self._notify_mark(known.listed, known.listed.state)
 
     def _apply_list(self, entries: list[ListEntry]) -> None:
-        hosts = [join_entry_host(e) for e in entries if e.role == ENTRY_ROLE]
+        hosts = [build_entry_host(e) for e in entries if e.role == ENTRY_ROLE]
         self._entries = [e for e in entries if e.role != ENTRY_ROLE]
         changed = hosts != self._entry_hosts
         self._entry_hosts = hosts
-        listed = self._join_upstreams(entries)
+        listed = self._build_upstreams(entries)
         changed |= self._apply_listed(listed)
         self._update_cold_times(self._entries)
         ids = {upstream.id for upstream in listed}
@@ -385,9 +385,9 @@
             known.refresh()
             self._usable.pop(known.listed.pool, None)
 
-    def _join_upstreams(self, entries: Iterable[ListEntry]) -> list[Upstream]:
-        joined = [join_upstream(e, self._settings.pools) for e in entries]
-        return [upstream for upstream in joined if upstream is not None]
+    def _build_upstreams(self, entries: Iterable[ListEntry]) -> list[Upstream]:
+        built = [build_upstream(e, self._settings.pools) for e in entries]
+        return [upstream for upstream in built if upstream is not None]
 
     def _apply_listed(self, listed: Iterable[Upstream]) -> bool:
         """Apply the latest incarnations; return whether any is new."""
--- a/tests/test_upstreams_incarnations.py
+++ b/tests/test_upstreams_incarnations.py
@@ -20,7 +20,7 @@
 from balsamlift.peers import UPSTREAM_ROLE, ListEntry, Upstreams
 from balsamlift.peers._incarnations import take_latest
 from balsamlift.peers._list_reader import REMOVAL_GRACE_S
-from balsamlift.peers._upstream import Upstream, join_upstream
+from balsamlift.peers._upstream import Upstream, build_upstream
 from balsamlift.settings import PlatformSettings, PoolSettings, Settings
 from balsamlift.timeline import Timeline
 
@@ -55,8 +55,8 @@
     )
 
 
-def joined(upstream_id: str, started_ms: int) -> Upstream:
-    upstream = join_upstream(entry(upstream_id, started_ms), {})
+def built(upstream_id: str, started_ms: int) -> Upstream:
+    upstream = build_upstream(entry(upstream_id, started_ms), {})
     assert upstream is not None
     return upstream
 
@@ -77,21 +77,21 @@
     known: list[int], listed: list[int], latest: int
 ) -> None:
     found = take_latest(
-        [joined("i-1", ms) for ms in listed],
-        [joined("i-1", ms) for ms in known],
+        [built("i-1", ms) for ms in listed],
+        [built("i-1", ms) for ms in known],
     )
     assert [u.started_ms for u in found] == [latest]
 
 
 def test_known_but_unlisted_incarnations_are_not_returned() -> None:
-    assert take_latest([], [joined("i-1", 5)]) == []
+    assert take_latest([], [built("i-1", 5)]) == []
 
 
 def test_incarnations_have_unique_names_and_a_common_id() -> None:
-    first, second = joined("i-1", 5), joined("i-1", 9)
+    first, second = built("i-1", 5), built("i-1", 9)
     assert first.name != second.name
     assert first.id == second.id == "i-1"
-    assert joined("i-1", 0).name == "i-1"
+    assert built("i-1", 0).name == "i-1"
 
 
 def started_upstreams(clock: ManualClock) -> Iterator[Upstreams]:
@@ -160,7 +160,7 @@
                 self.latest[upstream_id] = max(before, listed.started_ms)
 
     def name(self, upstream_id: str, started_ms: int) -> str:
-        return joined(upstream_id, started_ms).name
+        return built(upstream_id, started_ms).name
 
     @rule(upstream_id=st.sampled_from(IDS))
     def start(self, upstream_id: str) -> None:
