--- a/src/balsamlift/peers/_shared_records.py
+++ b/src/balsamlift/peers/_shared_records.py
@@ -29,7 +29,7 @@
 SEND_BYTES_PER_S = 200_000.0
 
 
-def is_too_large(configuration: bytes) -> bool:
+def is_too_large_to_send(configuration: bytes) -> bool:
     """Return whether hosts that lack it must read it from the store."""
     return len(configuration) > SEND_BURST_BYTES
 
@@ -156,7 +156,7 @@
             ),
             listed=listed,
             evacuations=self._sources.evacuations.snapshot,
-            must_read=is_too_large(self._sources.copy.encoded),
+            must_read=is_too_large_to_send(self._sources.copy.encoded),
             end=self._sources.configuration.end,
             incoming_end=self._sources.configuration.incoming_end,
             era=self._sources.configuration.era,
--- a/src/balsamlift/peers/_sharing.py
+++ b/src/balsamlift/peers/_sharing.py
@@ -7,7 +7,7 @@
 from balsamlift.clock import Clock
 from balsamlift.peers._heard import Heard
 from balsamlift.peers._messages import Shared
-from balsamlift.peers._shared_records import is_too_large
+from balsamlift.peers._shared_records import is_too_large_to_send
 from balsamlift.peers._upstreams import Upstreams
 
 # A host that can read the platform has a new configuration within about 10 ms.
@@ -79,7 +79,7 @@
         now_s = self._clock.monotonic()
         since_s = self._lagging_since_s.setdefault(host, now_s)
         configuration = self._read_configuration()
-        is_large = is_too_large(configuration)
+        is_large = is_too_large_to_send(configuration)
         wait_s = SEND_LARGE_AFTER_S if is_large else SEND_AFTER_S
         if now_s - since_s < wait_s:
             return b""
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -29,7 +29,7 @@
 from balsamlift.peers._host_ranks import is_reader, rank_hosts
 from balsamlift.peers._membership import READERS_OF_MANY
 from balsamlift.peers._messages import CountsSums, CountsUpdate
-from balsamlift.peers._shared_records import is_too_large
+from balsamlift.peers._shared_records import is_too_large_to_send
 from balsamlift.platform._decode import decode_evacuations
 from balsamlift.platform._settings import NodeSettings, decode_node_settings
 
@@ -137,7 +137,9 @@
         if start > len(records):
             raise HistoryLostError(topic)
         versions = sum(record.key == "k" for record in records[start:])
-        is_large = versions and is_too_large(bytes(self._store.version_bytes))
+        is_large = versions and is_too_large_to_send(
+            bytes(self._store.version_bytes)
+        )
         if on_large_answer is not None and is_large:
             on_large_answer(len(records))
         if topic == CONFIGURATION:
