--- a/src/balsamlift/peers/_follower.py
+++ b/src/balsamlift/peers/_follower.py
@@ -343,7 +343,7 @@
         if self._target_end == target_end:
             self._target_end = 0
         log.bind(topic=self._topic, age_s=round(age_s, 3)).info(
-            "read the topic from the store, as other hosts know more records"
+            "read the topic from the store, as more records are known to exist"
             if is_behind
             else "read the topic from the store, as the records were too old"
         )
--- a/tests/test_peers_follower.py
+++ b/tests/test_peers_follower.py
@@ -258,7 +258,7 @@
     run(test)
 
 
-def test_a_host_is_asked_for_a_while_after_a_request() -> None:
+def test_requests_are_recent_for_a_limited_time() -> None:
     async def test(world: World) -> None:
         assert not world.reader_records.has_recent_requests
         world.ask()
