--- a/src/balsamlift/peers/__init__.py
+++ b/src/balsamlift/peers/__init__.py
@@ -1,8 +1,10 @@
-"""The other hosts, and the upstreams that all hosts share."""
+"""Communicate with peer hosts and track the upstreams that all share."""
 
 from balsamlift.peers._crash_reports import CrashReports
-from balsamlift.peers._evacuations import EvacuationNews, Evacuations
-from balsamlift.peers._follower import Follower, Pace
+from balsamlift.peers._evacuations import Evacuations, EvacuationSnapshot
+from balsamlift.peers._fallback_reads import FallbackReads
+from balsamlift.peers._follower import Follower, FreshnessLimits
+from balsamlift.peers._host_ranks import HostRank
 from balsamlift.peers._hosts_list import (
     ENTRY_ROLE,
     UPSTREAM_ROLE,
@@ -10,14 +12,12 @@
 )
 from balsamlift.peers._list_reader import UpstreamList
 from balsamlift.peers._load import CountsBasis
-from balsamlift.peers._lone_reads import LoneReads
-from balsamlift.peers._marks import UpstreamState
 from balsamlift.peers._membership import Peers
 from balsamlift.peers._messages import CrashReport
+from balsamlift.peers._observed_states import UpstreamState
 from balsamlift.peers._peer import Peer
-from balsamlift.peers._readers import Place
-from balsamlift.peers._records import Newest, Record
-from balsamlift.peers._shared_records import SharedRecords, Sources
+from balsamlift.peers._records import Record, RecordBatch
+from balsamlift.peers._shared_records import RecordSources, SharedRecords
 from balsamlift.peers._upstream import EntryHost, Upstream
 from balsamlift.peers._upstreams import Upstreams
 
@@ -28,19 +28,19 @@
     "CrashReport",
     "CrashReports",
     "EntryHost",
-    "EvacuationNews",
+    "EvacuationSnapshot",
     "Evacuations",
+    "FallbackReads",
     "Follower",
+    "FreshnessLimits",
+    "HostRank",
     "ListEntry",
-    "LoneReads",
-    "Newest",
-    "Pace",
     "Peer",
     "Peers",
-    "Place",
     "Record",
+    "RecordBatch",
+    "RecordSources",
     "SharedRecords",
-    "Sources",
     "Upstream",
     "UpstreamList",
     "UpstreamState",
--- a/src/balsamlift/peers/_gathering.py
+++ b/src/balsamlift/peers/_gathering.py
@@ -24,13 +24,13 @@
 from balsamlift.exceptions import PeerMessageError
 from balsamlift.metrics import Metrics
 from balsamlift.peers._gatherer import MOST_BYTES, Gatherer
+from balsamlift.peers._host_ranks import rank_hosts
 from balsamlift.peers._messages import (
     CountsSums,
     CountsUpdate,
     decode_sums,
     encode_counts,
 )
-from balsamlift.peers._readers import rank_hosts
 from balsamlift.peers._shared_records import Position, SharedRecords
 
 log = logger.bind(part="peers")
@@ -200,7 +200,7 @@
             if sums is None:
                 self._avoid(found)
             else:
-                self._records.take(sums.records, asked_s)
+                self._records.apply_answer(sums.records, asked_s)
 
     async def _tell_host(
         self, found: GatheringHost, wants_sums: bool
@@ -214,7 +214,7 @@
     def _take_sums(
         self, sums: CountsSums, asked_s: float, wants_sums: bool
     ) -> None:
-        self._records.take(sums.records, asked_s)
+        self._records.apply_answer(sums.records, asked_s)
         if wants_sums:
             self._sums = sums.counts
             self._summed_s = self._clock.monotonic()
--- a/src/balsamlift/platform/_daemon.py
+++ b/src/balsamlift/platform/_daemon.py
@@ -17,7 +17,13 @@
 from balsamlift.kernel import Kernel
 from balsamlift.metrics import Metrics
 from balsamlift.operators import OperatorsServer
-from balsamlift.peers import LoneReads, Peers, Record, Sources, Upstreams
+from balsamlift.peers import (
+    FallbackReads,
+    Peers,
+    Record,
+    RecordSources,
+    Upstreams,
+)
 from balsamlift.platform._decode import HostRecord, encode_operator_records
 from balsamlift.platform._engines import PlatformEngines
 from balsamlift.platform._settings import NodeSettings, load_node_settings
@@ -121,23 +127,23 @@
 
     def _share_reading(self) -> None:
         """Let a few hosts read the store for all if there are many hosts."""
-        sources = Sources(
+        sources = RecordSources(
             configuration=self._configuration_watch.follower,
             listed=self._upstreams_source.upstreams_follower,
             copy=self._routing,
             offer=lambda data: offer_configuration(
                 self._routing, data, "peer"
             ),
-            is_settled=lambda: self.upstreams.is_settled,
+            is_list_complete=lambda: self.upstreams.is_list_complete,
             evacuations=self.upstreams.evacuations,
             note_version=lambda version: self._routing.note_version(
                 version, "peer"
             ),
             snapshot_records=self._snapshot_records,
         )
-        lone_reads = LoneReads(self._clock)
+        fallback_reads = FallbackReads(self._clock)
         for follower in (sources.configuration, sources.listed):
-            follower.share(lambda: self.peers.reads_records, lone_reads)
+            follower.share(lambda: self.peers.reads_records, fallback_reads)
         self.peers.records.connect(sources)
 
     def _snapshot_records(self, end: int) -> list[Record]:
--- a/src/balsamlift/platform/_watch.py
+++ b/src/balsamlift/platform/_watch.py
@@ -16,11 +16,11 @@
 from balsamlift.exceptions import HostsUnavailableError, StoreError
 from balsamlift.kernel import Kernel
 from balsamlift.peers import (
-    EvacuationNews,
     Evacuations,
+    EvacuationSnapshot,
     Follower,
+    FreshnessLimits,
     ListEntry,
-    Pace,
 )
 from balsamlift.platform._decode import (
     HostRecord,
@@ -64,7 +64,11 @@
     name = "configuration_watch"
 
     def __init__(
-        self, store: Store, clock: Clock, pace: Pace, evacuations: Evacuations
+        self,
+        store: Store,
+        clock: Clock,
+        pace: FreshnessLimits,
+        evacuations: Evacuations,
     ) -> None:
         """Follow the operators' topic with the limits of `pace`."""
         self._evacuations = evacuations
@@ -108,7 +112,7 @@
     def _offer_evacuations(self, values: dict[str, bytes]) -> None:
         if self.follower.end is not None:
             domains = decode_evacuations(values)
-            news = EvacuationNews(
+            news = EvacuationSnapshot(
                 self.follower.end, domains, self.follower.era
             )
             self._evacuations.offer(news, "store", age_ms=0)
@@ -164,7 +168,9 @@
 class UpstreamsSource:
     """Read upstreams and hosts from the store as one list."""
 
-    def __init__(self, store: Store, clock: Clock, pace: Pace) -> None:
+    def __init__(
+        self, store: Store, clock: Clock, pace: FreshnessLimits
+    ) -> None:
         """Follow both topics with the limits of `pace`."""
         self.upstreams_follower = Follower(store, UPSTREAMS_TOPIC, clock, pace)
         self._hosts_follower = Follower(store, HOSTS_TOPIC, clock, pace)
@@ -205,7 +211,7 @@
         upstreams for others look for hosts that no peer knows of.
         """
         is_known = self._hosts_follower.end is not None
-        if is_known and not self.upstreams_follower.reads:
+        if is_known and not self.upstreams_follower.is_reader:
             return False
         if self._clock.monotonic() < self._next_hosts_read_s:
             return False
--- a/src/balsamlift/relay/_cold_starts.py
+++ b/src/balsamlift/relay/_cold_starts.py
@@ -13,7 +13,7 @@
 import attrs
 
 from balsamlift.clock import Clock
-from balsamlift.peers import Place, Upstream
+from balsamlift.peers import HostRank, Upstream
 
 # Hosts that know different sets of hosts divide the limit differently: those
 # behind a network partition, and those that have just learned of new hosts.
@@ -34,7 +34,7 @@
 
 
 def host_share(
-    place: Place, tolerated_per_s: float, limits: ColdLimits
+    place: HostRank, tolerated_per_s: float, limits: ColdLimits
 ) -> int:
     """Return how many requests a second that host may send an upstream."""
     limit = int(tolerated_per_s * limits.factor + limits.extra_per_s)
@@ -51,7 +51,7 @@
         self,
         limits: ColdLimits | None,
         tolerated_per_s: Callable[[str], float | None],
-        place_for: Callable[[str], Place],
+        place_for: Callable[[str], HostRank],
         clock: Clock,
     ) -> None:
         """Apply no limit if `limits` is None.
--- a/src/balsamlift/relay/_leaving_detector.py
+++ b/src/balsamlift/relay/_leaving_detector.py
@@ -48,7 +48,7 @@
     async def _keep_polling(self) -> None:
         while True:
             await self._clock.sleep(POLL_INTERVAL_S)
-            if not self._upstreams.is_cut_off:
+            if not self._upstreams.is_list_unavailable:
                 continue
             candidates = [
                 upstream
--- a/src/balsamlift/relay/_shared_health.py
+++ b/src/balsamlift/relay/_shared_health.py
@@ -14,7 +14,7 @@
 import attrs
 from loguru import logger
 
-from balsamlift.peers import Place
+from balsamlift.peers import HostRank
 
 log = logger.bind(part="upstreams")
 
@@ -73,7 +73,9 @@
         return share
 
 
-def should_avoid(reports: HealthReports, place: Callable[[], Place]) -> bool:
+def should_avoid(
+    reports: HealthReports, place: Callable[[], HostRank]
+) -> bool:
     """Tell whether a host at `place` must not send to an upstream."""
     if max(reports.failing, reports.on_probation) < MIN_FAILING_HOSTS:
         return False
@@ -107,7 +109,7 @@
         set_count: Callable[[str, int], None],
         publish_counts: Callable[[], None],
         others_count: Callable[[str], int],
-        place_for: Callable[[str], Place],
+        place_for: Callable[[str], HostRank],
     ) -> None:
         """Set counts by `set_count` and send them by `publish_counts`.
 
--- a/tests/test_peers_gathering.py
+++ b/tests/test_peers_gathering.py
@@ -14,10 +14,10 @@
 from balsamlift.peers import (
     Evacuations,
     Follower,
-    Newest,
-    Pace,
+    FreshnessLimits,
     Record,
-    Sources,
+    RecordBatch,
+    RecordSources,
 )
 from balsamlift.peers._gatherer import KEEP_S, Gatherer
 from balsamlift.peers._gathering import (
@@ -26,8 +26,8 @@
     Gathering,
     GatheringHost,
 )
+from balsamlift.peers._host_ranks import is_reader, rank_hosts
 from balsamlift.peers._messages import CountsUpdate, encode_counts
-from balsamlift.peers._readers import is_reader, rank_hosts
 from balsamlift.peers._shared_records import SharedRecords
 
 DEADLINE_S = 20.0
@@ -260,14 +260,14 @@
     def __init__(self, is_served: bool) -> None:
         self.is_served = is_served
 
-    async def newest(self, topic: str) -> Newest:
+    async def newest(self, topic: str) -> RecordBatch:
         if not self.is_served:
             raise StoreError("turned away")
-        return Newest([Record("e1", b"1", 0)], 1)
+        return RecordBatch([Record("e1", b"1", 0)], 1)
 
-    async def read(self, topic: str, start: int, wait_ms: int) -> Newest:
+    async def read(self, topic: str, start: int, wait_ms: int) -> RecordBatch:
         await asyncio.sleep(wait_ms / 1_000)
-        return Newest([], 1)
+        return RecordBatch([], 1)
 
 
 class Unchanged:
@@ -280,18 +280,18 @@
 def share_records(gathering: Gathering, clock: HandClock) -> Follower:
     """Let a host answer from a topic, which the first in rank cannot read."""
     is_first = gathering.host == rank_hosts(HOSTS[:5])[0]
-    pace = Pace(wait_ms=100, most_age_s=30.0)
+    pace = FreshnessLimits(wait_ms=100, max_age_s=30.0)
     follower = Follower(Topic(not is_first), "t", clock, pace)
     follower.confirm(clock.monotonic())  # none has to read for a while
     records = gathering._records
-    follower.share(lambda: records.is_asked)
+    follower.share(lambda: records.has_recent_requests)
     records.connect(
-        Sources(
+        RecordSources(
             configuration=follower,
             listed=follower,
             copy=Unchanged(),
             offer=lambda data: None,
-            is_settled=lambda: True,
+            is_list_complete=lambda: True,
             evacuations=Evacuations(),
         )
     )
--- a/tests/test_relay_shared_health.py
+++ b/tests/test_relay_shared_health.py
@@ -12,7 +12,7 @@
 from _virtual_time import LoopClock, run_virtual
 from loguru import logger
 
-from balsamlift.peers import Peers, Place, Upstreams
+from balsamlift.peers import HostRank, Peers, Upstreams
 from balsamlift.relay import EngineTraits
 from balsamlift.relay._balance import Balancer
 from balsamlift.relay._memory_allocator import MemoryAllocator
@@ -218,7 +218,7 @@
     expected: bool,
 ) -> None:
     reports = HealthReports(failing, serving, on_probation)
-    assert should_avoid(reports, lambda: Place(position, 20)) is expected
+    assert should_avoid(reports, lambda: HostRank(position, 20)) is expected
 
 
 class SingleHost:
@@ -232,7 +232,7 @@
             self.counts.__setitem__,
             self._publish_counts,
             self.others.__getitem__,
-            lambda name: Place(0, 2),
+            lambda name: HostRank(0, 2),
         )
 
     def _publish_counts(self) -> None:
