--- a/src/balsamlift/peers/_composer.py
+++ b/src/balsamlift/peers/_composer.py
@@ -1,4 +1,4 @@
-"""Draft the messages to peers: only what is news to each."""
+"""Compose the messages to peers, each with only what is new to that peer."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from balsamlift.peers._counts import OwnCounts
 from balsamlift.peers._crash_reports import CrashReports
 from balsamlift.peers._evacuations import EvacuationNews
-from balsamlift.peers._heard import HeardPeers
-from balsamlift.peers._link import Draft, Link, Told
+from balsamlift.peers._heard import PeerStatuses
+from balsamlift.peers._link import Draft, Link, SentChanges
 from balsamlift.peers._members import Members
 from balsamlift.peers._messages import Member, PeerMessage, Shared
 from balsamlift.peers._notes import Notes
 
-RECENT_MEMBERS = 32  # changes that a new link tells; the rest it is asked for
-SAMPLE_EVERY = 8  # messages per entry sent in case the peer missed it
+RECENT_MEMBERS = 32  # changes sent on a new link; the peer requests the rest
+SAMPLE_EVERY = 8  # messages per random entry, sent in case the peer missed it
 FULL_COUNTS_EVERY = 40  # messages
 
 
 @attrs.frozen(kw_only=True)
-class Status:
-    """Hold what every message says of this host now."""
+class OwnStatus:
+    """Hold the state of this host that every message carries."""
 
     stamp: str
     offset: int
@@ -36,7 +36,7 @@
 
 
 class Composer:
-    """Draft messages from what this host knows."""
+    """Compose messages to peers from the tables of this host."""
 
     def __init__(
         self,
@@ -44,74 +44,81 @@
         counts: OwnCounts,
         notes: Notes,
         crash_reports: CrashReports,
-        heard: HeardPeers,
+        peer_statuses: PeerStatuses,
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        """Read from the tables that others keep."""
+        """Read from these tables, which other objects update."""
         self._members = members
         self._counts = counts
         self._notes = notes
         self._crash_reports = crash_reports
-        self._heard = heard
+        self._peer_statuses = peer_statuses
         self._clock = clock
         self._random = rng
         self._seqs = itertools.count(1)
 
-    def compose(self, link: Link, status: Status) -> Draft:
+    def compose(self, link: Link, status: OwnStatus) -> Draft:
         """Return the next message on that link."""
-        heard = self._heard.find(link.host)
+        peer_status = self._peer_statuses.find(link.host)
         own = self._members.own
-        is_full = self._is_full_due(link)
+        sends_full_counts = self._are_full_counts_due(link)
         now_s = self._clock.monotonic()
         message = PeerMessage(
             host=own.host,
             incarnation=own.incarnation,
             seq=next(self._seqs),
-            previous_seq=link.last_seq if link.told.is_any else 0,
-            acked_seq=heard.seq if heard else 0,
-            missed=heard.missed if heard else False,
+            previous_seq=link.last_seq if link.sent_changes.any_sent else 0,
+            acked_seq=peer_status.seq if peer_status else 0,
+            needs_full_state=peer_status.needs_full_state
+            if peer_status
+            else False,
             stamp=status.stamp,
             offset=status.offset,
             caught_up=status.caught_up,
             chosen=status.chosen,
             wants_members=status.wants_members,
             members=self._members_for(link),
-            counts=self._counts_for(link, is_full),
-            counts_are_full=is_full,
-            notes=self._notes.changed_since(link.told.notes, now_s),
+            counts=self._counts_for(link, sends_full_counts),
+            counts_are_full=sends_full_counts,
+            notes=self._notes.changed_since(link.sent_changes.notes, now_s),
             shared=status.shared,
             evacuations=status.evacuations,
             crash_reports=self._crash_reports.changed_since(
-                link.told.crash_reports
+                link.sent_changes.crash_reports
             ),
         )
-        told = Told(
+        sent_changes = SentChanges(
             self._members.change,
             self._counts.change,
             self._notes.change,
             self._crash_reports.change,
         )
-        return Draft(message, told)
+        return Draft(message, sent_changes)
 
     def _members_for(self, link: Link) -> list[Member]:
-        told = link.told.members
-        is_new = told is None
-        if told is None:
-            told = max(0, self._members.change - RECENT_MEMBERS)
-        chosen = {m.host: m for m in self._members.changed_since(told)}
+        sent_change = link.sent_changes.members
+        is_new = sent_change is None
+        if sent_change is None:
+            sent_change = max(0, self._members.change - RECENT_MEMBERS)
+        entries = {m.host: m for m in self._members.changed_since(sent_change)}
         if is_new:
-            chosen[self._members.own.host] = self._members.own
-        elif link.sent % SAMPLE_EVERY == 0:
+            entries[self._members.own.host] = self._members.own
+        elif link.sent_messages % SAMPLE_EVERY == 0:
             sample = self._members.sample(self._random)
-            chosen[sample.host] = sample
-        chosen.update(link.extra_members)
-        return list(chosen.values())
+            entries[sample.host] = sample
+        entries.update(link.extra_members)
+        return list(entries.values())
 
-    def _is_full_due(self, link: Link) -> bool:
-        return link.told.counts is None or link.sent % FULL_COUNTS_EVERY == 0
+    def _are_full_counts_due(self, link: Link) -> bool:
+        return (
+            link.sent_changes.counts is None
+            or link.sent_messages % FULL_COUNTS_EVERY == 0
+        )
 
-    def _counts_for(self, link: Link, is_full: bool) -> dict[str, int]:
-        if is_full or link.told.counts is None:
+    def _counts_for(
+        self, link: Link, sends_full_counts: bool
+    ) -> dict[str, int]:
+        if sends_full_counts or link.sent_changes.counts is None:
             return self._counts.full()
-        return self._counts.changed_since(link.told.counts)
+        return self._counts.changed_since(link.sent_changes.counts)
--- a/src/balsamlift/peers/_counts.py
+++ b/src/balsamlift/peers/_counts.py
@@ -1,69 +1,70 @@
-"""In-flight counts per upstream: our own, and the sum of the peers'."""
+"""In-flight counts per upstream: this host's, and the peers' with sums."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-GRAIN = 16  # a change by less than this part of a count is not told
+# A change by less than this fraction (1/16) of the sent count is not sent.
+MIN_CHANGE_DIVISOR = 16
 
 
 class OwnCounts:
-    """Hold this host's counts and the order of their changes."""
+    """Hold this host's counts, and the order in which they changed."""
 
     def __init__(self) -> None:
-        """Begin with nothing in flight."""
+        """Start with nothing in flight."""
         self.change = 0
         self._exact: dict[str, int] = {}
-        self._told: dict[str, int] = {}
+        self._sent: dict[str, int] = {}
         self._changes: dict[str, int] = {}  # by upstream, oldest first
 
     def set(self, upstream: str, n: int) -> None:
-        """Set one count."""
+        """Set the count of an upstream."""
         if n:
             self._exact[upstream] = n
         else:
             self._exact.pop(upstream, None)
-        told = self._told.get(upstream, 0)
-        if n == told or (n and abs(n - told) * GRAIN < told):
+        sent = self._sent.get(upstream, 0)
+        if n == sent or (n and abs(n - sent) * MIN_CHANGE_DIVISOR < sent):
             return
         self.change += 1
-        self._told[upstream] = n
+        self._sent[upstream] = n
         self._changes.pop(upstream, None)
         self._changes[upstream] = self.change
 
     def full(self) -> dict[str, int]:
-        """Return every count that is not zero."""
+        """Return every exact count that is not zero."""
         return dict(self._exact)
 
     def changed_since(self, change: int) -> dict[str, int]:
-        """Return the counts that changed after that number."""
+        """Return the counts that changed after that change number."""
         changed = {}
         for upstream, number in reversed(self._changes.items()):
             if number <= change:
                 break
-            changed[upstream] = self._told[upstream]
+            changed[upstream] = self._sent[upstream]
         return changed
 
     def drop_told(self, change: int) -> None:
-        """Forget zeros that every link has told, up to that number."""
+        """Drop zeros up to that change, which every link has sent."""
         for upstream, number in list(self._changes.items()):
             if number > change:
                 break
-            if self._told[upstream] == 0:
+            if self._sent[upstream] == 0:
                 del self._changes[upstream]
-                del self._told[upstream]
+                del self._sent[upstream]
 
 
 class PeerCounts:
     """Hold the counts of each peer and their sums."""
 
     def __init__(self) -> None:
-        """Begin with no peer."""
+        """Start with no peer."""
         self._by_host: dict[str, dict[str, int]] = {}
         self._sums: Counter[str] = Counter()
 
     def take(self, host: str, counts: dict[str, int], *, full: bool) -> None:
-        """Take in the counts that a peer told."""
+        """Apply counts that a peer sent: all of them, or changes only."""
         if full:
             self.drop(host)
         known = self._by_host.setdefault(host, {})
@@ -73,11 +74,11 @@
                 known[upstream] = n
 
     def drop(self, host: str) -> None:
-        """Forget the counts of a peer."""
+        """Drop the counts of a peer."""
         for upstream, n in self._by_host.pop(host, {}).items():
             self._add(upstream, -n)
 
-    def hosts(self) -> int:
+    def host_count(self) -> int:
         """Return the number of peers whose counts are known."""
         return len(self._by_host)
 
--- a/src/balsamlift/peers/_crash_reports.py
+++ b/src/balsamlift/peers/_crash_reports.py
@@ -15,14 +15,14 @@
 from balsamlift.peers._messages import CrashReport
 
 REPORT_TTL_MS = 600_000
-# Each takes about 60 bytes on the wire and 300 in memory.
+# Each report takes about 60 bytes on the wire and 300 in memory.
 MAX_REPORTS = 1_000
 _MS_PER_S = 1_000
 _ReportKey = tuple[str, str]
 
 
 @attrs.define
-class _Kept:
+class _Entry:
     report: CrashReport
     expires_s: float
     change: int
@@ -36,10 +36,10 @@
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Begin with no report."""
+        """Start with no report."""
         self.change = 0
         self._clock = clock
-        self._kept: dict[_ReportKey, _Kept] = {}  # oldest first
+        self._entries: dict[_ReportKey, _Entry] = {}  # oldest first
         self._on_new_reports: list[Callable[[list[CrashReport]], None]] = []
         self._wake: Callable[[], None] = _do_nothing
 
@@ -56,7 +56,7 @@
     def all(self) -> list[CrashReport]:
         """Return every report that has not expired."""
         self._expire()
-        return [kept.report for kept in self._kept.values()]
+        return [entry.report for entry in self._entries.values()]
 
     def report_crash(
         self, fingerprint: str, upstream: str, *, had_output: bool
@@ -84,33 +84,33 @@
         """Return the reports after that change, with their remaining TTL."""
         now_s = self._clock.monotonic()
         found = []
-        for kept in reversed(self._kept.values()):
-            if kept.change <= change:
+        for entry in reversed(self._entries.values()):
+            if entry.change <= change:
                 break
-            ttl_ms = int((kept.expires_s - now_s) * _MS_PER_S)
+            ttl_ms = int((entry.expires_s - now_s) * _MS_PER_S)
             if ttl_ms > 0:
                 found.append(
-                    msgspec.structs.replace(kept.report, ttl_ms=ttl_ms)
+                    msgspec.structs.replace(entry.report, ttl_ms=ttl_ms)
                 )
         return found
 
     def _add_one(self, report: CrashReport) -> bool:
         key = report.fingerprint, report.upstream
         ttl_ms = min(report.ttl_ms, REPORT_TTL_MS)
-        if key in self._kept or ttl_ms <= 0:
+        if key in self._entries or ttl_ms <= 0:
             return False
-        if len(self._kept) >= MAX_REPORTS:
-            del self._kept[next(iter(self._kept))]
+        if len(self._entries) >= MAX_REPORTS:
+            del self._entries[next(iter(self._entries))]
         self.change += 1
         expires_s = self._clock.monotonic() + ttl_ms / _MS_PER_S
-        self._kept[key] = _Kept(report, expires_s, self.change)
+        self._entries[key] = _Entry(report, expires_s, self.change)
         return True
 
     def _expire(self) -> None:
         now_s = self._clock.monotonic()
-        for key, kept in list(self._kept.items()):
-            if kept.expires_s <= now_s:
-                del self._kept[key]
+        for key, entry in list(self._entries.items()):
+            if entry.expires_s <= now_s:
+                del self._entries[key]
 
 
 def _do_nothing() -> None:
--- a/src/balsamlift/peers/_gatherer.py
+++ b/src/balsamlift/peers/_gatherer.py
@@ -1,4 +1,4 @@
-"""The answering half of the exchange of counts and records."""
+"""The server side of the exchange of counts and records."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 log = logger.bind(part="peers")
 
-# A host that was not heard for this long is taken as gone, with its counts.
-KEEP_S = 3.0
-ANSWERERS = 4  # that wait for messages at once; each answers immediately
-MOST_BYTES = 1 << 20  # of a question or an answer
+# The counts of a host that has sent no update for this long are dropped.
+HOST_TIMEOUT_S = 3.0
+WORKERS = 4  # wait for messages concurrently; each answers immediately
+MAX_MESSAGE_BYTES = 1 << 20  # of an update or an answer
 
 
 class Gatherer:
-    """Add up what the hosts tell, and tell each what the others have."""
+    """Sum up the counts of all hosts and answer each with the others' sums."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
     ) -> None:
         """Listen on "IP:port"; raises `PeersAddressError`."""
         self._records = records
-        self._rep = pynng.Rep0(recv_max_size=MOST_BYTES)
+        self._rep = pynng.Rep0(recv_max_size=MAX_MESSAGE_BYTES)
         ip, port = split_address(address)
         try:
             listener = self._rep.listen(f"tcp://{join_address(ip, port)}")
@@ -55,45 +55,45 @@
         self._own = own
         self._counts = PeerCounts()
         self._latest: dict[str, tuple[str, int]] = {}
-        self._told_s: dict[str, float] = {}
+        self._updated_s: dict[str, float] = {}
         self._contexts: list[pynng.Context] = []
         self._tasks: list[asyncio.Task[None]] = []
         self._is_open = True
 
     def start(self) -> None:
-        """Begin to answer."""
-        self._contexts = [self._rep.new_context() for _ in range(ANSWERERS)]
+        """Start answering updates."""
+        self._contexts = [self._rep.new_context() for _ in range(WORKERS)]
         self._tasks = [
-            asyncio.create_task(self._keep_answering(context))
+            asyncio.create_task(self._serve(context))
             for context in self._contexts
         ]
 
     async def stop(self) -> None:
-        """Close the address."""
-        self._is_open = False  # a closed context cannot be asked
+        """Close the address and stop answering."""
+        self._is_open = False  # a closed context cannot be read
         for context in self._contexts:
-            context.close()  # first: one cannot be closed after its socket
+            context.close()  # not possible once its socket is closed
         self._rep.close()
         for task in self._tasks:
             await end_task(task)
 
     def take(self, update: CountsUpdate) -> CountsSums:
-        """Take in what a host tells; return what all others have."""
+        """Apply an update of a host; return the sums over all others."""
         now_s = self._clock.monotonic()
-        if self._is_news(update):
+        if self._is_newer(update):
             self._counts.take(update.host, update.counts, full=True)
-            self._told_s[update.host] = now_s
-        for host, told_s in list(self._told_s.items()):
-            if now_s - told_s > KEEP_S:
+            self._updated_s[update.host] = now_s
+        for host, updated_s in list(self._updated_s.items()):
+            if now_s - updated_s > HOST_TIMEOUT_S:
                 self._counts.drop(host)
-                del self._told_s[host]
+                del self._updated_s[host]
                 del self._latest[host]
         answer = self._records.answer(update.position)
         if not update.wants_sums:
             return CountsSums({}, answer)
         return CountsSums(self._counts.sums_without(update.host), answer)
 
-    def _is_news(self, update: CountsUpdate) -> bool:
+    def _is_newer(self, update: CountsUpdate) -> bool:
         before = self._latest.get(update.host)
         if before is not None:
             incarnation, seq = before
@@ -102,7 +102,7 @@
         self._latest[update.host] = (update.incarnation, update.seq)
         return True
 
-    async def _keep_answering(self, context: pynng.Context) -> None:
+    async def _serve(self, context: pynng.Context) -> None:
         while self._is_open:
             try:
                 update = decode_update(await context.arecv())
@@ -111,5 +111,5 @@
             except pynng.Closed:
                 return
             except (pynng.NNGException, PeerMessageError) as error:
-                # Without an answer, the sender goes by its partners.
-                log.warning("counts not taken in: {}", error)
+                # Without an answer, the sender uses its partners' counts.
+                log.warning("could not answer a counts update: {}", error)
--- a/src/balsamlift/peers/_gathering.py
+++ b/src/balsamlift/peers/_gathering.py
@@ -1,12 +1,13 @@
-"""In-flight counts of all hosts, gathered at one of them.
+"""In-flight counts of all hosts, aggregated at one of them.
 
-The gathering host answers with what it knows of the platform's records too,
-so that the others need not read them.
+The aggregating host also answers with what it knows of the platform's
+records, so that the others need not read them.
 
 Up to the fan-out, each host hears the counts of all others. Beyond it, a sum
-scaled up from the partners says little of an engine with room for few
-generations. So all hosts tell one of them, which answers with the sums.
-It holds nothing that lasts: another takes its place as soon as it is gone.
+scaled up from the partners is too imprecise for an engine with room for few
+generations. So all hosts send their counts to one of them, which answers with
+the sums. It keeps no durable state: another host replaces it as soon as it is
+gone.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from balsamlift.clock import Clock
 from balsamlift.exceptions import PeerMessageError
 from balsamlift.metrics import Metrics
-from balsamlift.peers._gatherer import MOST_BYTES, Gatherer
+from balsamlift.peers._gatherer import MAX_MESSAGE_BYTES, Gatherer
 from balsamlift.peers._messages import (
     CountsSums,
     CountsUpdate,
@@ -35,33 +36,33 @@
 
 log = logger.bind(part="peers")
 
-# Counts are told with each generation that begins or ends; this often at
-# least, so that a host that has just become the one to tell knows all.
+# Counts are sent with each generation that begins or ends, and at least this
+# often, so that a host that has just become the aggregator receives them all.
 REFRESH_S = 1.0
-# Sums older than this are not used: the partners' are newer.
+# Sums older than this are not used: the partners' counts are newer.
 FRESH_S = 1.5
-# Newer ones hold what was placed just before; with older ones, hosts choose
-# what all others choose too.
+# Sums newer than this include the latest placements. With older ones, all
+# hosts choose the same upstreams.
 RECENT_S = 0.2
 # A generation waits no longer for better counts.
 ANSWER_MS = 80
-# One that did not answer is passed over for this long.
+# A host that did not answer is skipped for this long.
 AVOID_S = 1.0
-# Hosts asked in a row when one does not answer: what this host goes by must
-# not grow old over one that has just died.
-MOST_ASKED = 3
+# Hosts asked in a row when one does not answer: the sums of this host must not
+# become stale because the aggregator has just died.
+MAX_HOSTS_ASKED = 3
 
 
 @attrs.frozen
 class GatheringHost:
-    """Hold where a live host listens for counts."""
+    """Hold the address at which a live host listens for counts."""
 
     host: str
     address: str
 
 
 class Gathering:
-    """Tell the gathering host this one's counts, and know the others'."""
+    """Send this host's counts to the aggregator and keep its sums."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
         address: str,
         records: SharedRecords | None = None,
     ) -> None:
-        """Gather at `address` too, should it be this host's turn."""
+        """Listen at `address`, to aggregate when this host ranks first."""
         self._records = records or SharedRecords(clock)
         self.host = own_host
         self._clock = clock
@@ -84,9 +85,9 @@
         self._hosts: Callable[[], Collection[GatheringHost]] = tuple
         self._avoided_s: dict[str, float] = {}
         self._sums: Mapping[str, int] = {}
-        self._summed_s: float | None = None
-        self._told_host = ""
-        self._dialled = ""
+        self._sums_received_s: float | None = None
+        self._last_aggregator = ""
+        self._dialled_address = ""
         self._req: pynng.Req0 | None = None
         self._wake = asyncio.Event()
         self._waiters: list[asyncio.Future[None]] = []
@@ -96,7 +97,7 @@
     def start(
         self, hosts: Callable[[], Collection[GatheringHost]], metrics: Metrics
     ) -> None:
-        """Begin; `hosts` returns the other live ones, none while few."""
+        """Start; `hosts` returns the other live hosts, none while few."""
         self._hosts = hosts
         self._metrics = metrics
         self._gatherer.start()
@@ -106,32 +107,32 @@
         """Close all connections."""
         await self._gatherer.stop()
         await end_task(self._task)
-        self._hang_up()
+        self._close()
 
     @property
     def is_fresh(self) -> bool:
-        """Tell whether the sums can be used."""
-        if self._summed_s is None:
+        """Return whether the sums are new enough to be used."""
+        if self._sums_received_s is None:
             return False
-        return self._clock.monotonic() - self._summed_s <= FRESH_S
+        return self._clock.monotonic() - self._sums_received_s <= FRESH_S
 
     @property
     def is_recent(self) -> bool:
-        """Tell whether the sums hold all but what is placed just now."""
-        if self._summed_s is None:
+        """Return whether the sums lack only the very latest placements."""
+        if self._sums_received_s is None:
             return False
-        return self._clock.monotonic() - self._summed_s <= RECENT_S
+        return self._clock.monotonic() - self._sums_received_s <= RECENT_S
 
     def others(self, upstream: str) -> int:
         """Return the sum over all other hosts."""
         return self._sums.get(upstream, 0)
 
-    def tell(self) -> None:
-        """Tell this host's counts at once."""
+    def send(self) -> None:
+        """Send this host's counts at once."""
         self._wake.set()
 
     async def refresh(self) -> None:
-        """Wait for sums that were asked for from now on, or for a moment."""
+        """Wait, for a limited time, for sums that are requested from now."""
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
         self._wake.set()
@@ -155,7 +156,7 @@
                 async with asyncio.timeout(REFRESH_S):
                     await self._wake.wait()
             except TimeoutError:
-                pass  # nothing to tell: a refresh is due
+                pass  # no change to send: a refresh is due
             self._wake.clear()
             waiters, self._waiters = self._waiters, []
             await self._exchange(wants_sums=bool(waiters))
@@ -164,67 +165,71 @@
                     waiter.set_result(None)
 
     async def _exchange(self, *, wants_sums: bool) -> None:
-        """Tell the gathering host, and take its sums in if wanted."""
-        for _ in range(MOST_ASKED):
-            found = self._find()
-            if found is None:
-                self._summed_s = None
+        """Send counts to the aggregator and store its sums if wanted."""
+        for _ in range(MAX_HOSTS_ASKED):
+            aggregator = self._find_aggregator()
+            if aggregator is None:
+                self._sums_received_s = None
                 return
-            if found.host != self._told_host:
-                self._told_host = found.host
-                log.bind(host_told=found.host).info("counts gathered there")
+            if aggregator.host != self._last_aggregator:
+                self._last_aggregator = aggregator.host
+                log.bind(host_told=aggregator.host).info(
+                    "counts aggregator changed"
+                )
             asked_s = self._clock.monotonic()
-            sums = await self._tell_host(found, wants_sums)
+            sums = await self._exchange_with(aggregator, wants_sums)
             if sums is not None:
-                self._take_sums(sums, asked_s, wants_sums)
-                await self._ask_others(found)
+                self._store_sums(sums, asked_s, wants_sums)
+                await self._request_missing_records(aggregator)
                 return
-            self._avoid(found)
+            self._avoid(aggregator)
 
-    def _avoid(self, found: GatheringHost) -> None:
-        self._avoided_s[found.host] = self._clock.monotonic() + AVOID_S
+    def _avoid(self, target: GatheringHost) -> None:
+        self._avoided_s[target.host] = self._clock.monotonic() + AVOID_S
 
-    async def _ask_others(self, told: GatheringHost) -> None:
-        """Ask the next hosts for records that the one told cannot read.
+    async def _request_missing_records(
+        self, aggregator: GatheringHost
+    ) -> None:
+        """Ask the next hosts for records that the aggregator cannot read.
 
-        The store may turn that one away and serve others, which read as soon
-        as they are asked.
+        The store may refuse that one and serve others, which read as soon as
+        they are asked.
         """
-        for found in self._ranked()[:MOST_ASKED]:
+        for candidate in self._ranked()[:MAX_HOSTS_ASKED]:
             if self._records.is_fresh:
                 return
-            if found.host in (told.host, self.host):
+            if candidate.host in (aggregator.host, self.host):
                 continue
             asked_s = self._clock.monotonic()
-            sums = await self._tell_host(found, wants_sums=False)
+            sums = await self._exchange_with(candidate, wants_sums=False)
             if sums is None:
-                self._avoid(found)
+                self._avoid(candidate)
             else:
                 self._records.take(sums.records, asked_s)
 
-    async def _tell_host(
-        self, found: GatheringHost, wants_sums: bool
+    async def _exchange_with(
+        self, target: GatheringHost, wants_sums: bool
     ) -> CountsSums | None:
-        if found.host == self.host:
+        if target.host == self.host:
             return self._gatherer.take(self._update(wants_sums=wants_sums))
         position = self._records.position()
         update = self._update(wants_sums=wants_sums, position=position)
-        return await self._ask(found, update)
+        return await self._ask(target, update)
 
-    def _take_sums(
+    def _store_sums(
         self, sums: CountsSums, asked_s: float, wants_sums: bool
     ) -> None:
         self._records.take(sums.records, asked_s)
         if wants_sums:
             self._sums = sums.counts
-            self._summed_s = self._clock.monotonic()
+            self._sums_received_s = self._clock.monotonic()
 
-    def _find(self) -> GatheringHost | None:
-        """Return the host that gathers, as far as this one knows."""
+    def _find_aggregator(self) -> GatheringHost | None:
+        """Return the aggregator as computed by this host."""
         return next(iter(self._ranked()), None)
 
     def _ranked(self) -> list[GatheringHost]:
-        """Return the hosts that may gather, the one to tell first."""
+        """Return the hosts that may aggregate, the preferred one first."""
         known = {each.host: each for each in self._hosts()}
         if not known:
             return []
@@ -237,11 +242,11 @@
         ]
 
     async def _ask(
-        self, found: GatheringHost, update: CountsUpdate
+        self, target: GatheringHost, update: CountsUpdate
     ) -> CountsSums | None:
         try:
-            if self._dialled != found.address:
-                self._dial(found.address)
+            if self._dialled_address != target.address:
+                self._dial(target.address)
             assert self._req is not None
             with self._req.new_context() as context:
                 await context.asend(encode_counts(update))
@@ -250,22 +255,24 @@
             return decode_sums(answer)
         except (pynng.NNGException, PeerMessageError) as error:
             self._metrics.count("peers.sums_missed")
-            log.bind(host_asked=found.host).info("no sums: {}", error)
-            self._hang_up()
+            log.bind(host_asked=target.host).info(
+                "no sums received: {}", error
+            )
+            self._close()
             return None
 
     def _dial(self, address: str) -> None:
-        self._hang_up()
+        self._close()
         self._req = pynng.Req0(
-            recv_max_size=MOST_BYTES,
+            recv_max_size=MAX_MESSAGE_BYTES,
             recv_timeout=ANSWER_MS,
             send_timeout=ANSWER_MS,
         )
         self._req.dial(f"tcp://{address}", block=False)
-        self._dialled = address
+        self._dialled_address = address
 
-    def _hang_up(self) -> None:
+    def _close(self) -> None:
         if self._req is not None:
             self._req.close()
         self._req = None
-        self._dialled = ""
+        self._dialled_address = ""
--- a/src/balsamlift/peers/_heard.py
+++ b/src/balsamlift/peers/_heard.py
@@ -1,4 +1,4 @@
-"""What peers told this host themselves."""
+"""The status that each peer last reported to this host directly."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 @attrs.define
 class Heard:
-    """Hold the latest that one incarnation of a peer told us itself."""
+    """Hold what one incarnation of a peer last reported directly."""
 
     incarnation: str
     seq: int = 0
-    at_s: float = 0.0
+    received_s: float = 0.0
     offset: int = 0
     caught_up: bool = False
     chose_us: bool = False
-    missed: bool = False  # until a message that tells all has come
+    needs_full_state: bool = False  # until a message with it arrives
     wants_list: bool = False
 
-    def take(self, message: PeerMessage, now_s: float) -> None:
-        """Take in a message of this incarnation."""
+    def update(self, message: PeerMessage, now_s: float) -> None:
+        """Update the status from a message of this incarnation."""
         if message.previous_seq == 0:
-            self.missed = False
+            self.needs_full_state = False
         elif message.previous_seq != self.seq:
-            self.missed = True
+            self.needs_full_state = True
         self.seq = message.seq
-        self.at_s = now_s
+        self.received_s = now_s
         self.offset = message.offset
         self.caught_up = message.caught_up
         self.chose_us = message.chosen
@@ -36,64 +36,64 @@
         self.wants_list = shared is not None and shared.wants_list
 
 
-class HeardPeers:
-    """Hold what each peer told last."""
+class PeerStatuses:
+    """Hold the last directly reported status of each peer."""
 
     def __init__(self, clock: Clock, silence_s: float) -> None:
-        """Begin with nobody heard; `silence_s` bounds what counts as now."""
+        """Start empty; a status is recent for `silence_s`."""
         self._clock = clock
         self._silence_s = silence_s
-        self._heard: dict[str, Heard] = {}
+        self._statuses: dict[str, Heard] = {}
 
     def find(self, host: str) -> Heard | None:
-        """Return what a peer told last."""
-        return self._heard.get(host)
+        """Return the last status of a peer."""
+        return self._statuses.get(host)
 
     def find_incarnation(self, host: str, incarnation: str) -> Heard | None:
-        """Return what that incarnation of a peer told last."""
-        heard = self._heard.get(host)
-        if heard is None or heard.incarnation != incarnation:
+        """Return the last status of a peer if of that incarnation."""
+        status = self._statuses.get(host)
+        if status is None or status.incarnation != incarnation:
             return None
-        return heard
+        return status
 
-    def hears(self, host: str, incarnation: str) -> bool:
-        """Tell whether that incarnation of a peer was heard just now."""
-        heard = self.find_incarnation(host, incarnation)
-        return heard is not None and self._is_recent(heard)
+    def heard_recently(self, host: str, incarnation: str) -> bool:
+        """Return whether that incarnation of a peer was heard recently."""
+        status = self.find_incarnation(host, incarnation)
+        return status is not None and self._is_recent(status)
 
     def lacks_list(self, host: str) -> bool:
-        """Tell whether a peer said last that it cannot read the list."""
-        heard = self._heard.get(host)
-        return heard is not None and heard.wants_list
+        """Return whether a peer last reported that it cannot read the list."""
+        status = self._statuses.get(host)
+        return status is not None and status.wants_list
 
-    def askers(self) -> set[str]:
-        """Return the peers that chose this host and were heard just now."""
+    def inbound_partners(self) -> set[str]:
+        """Return the peers that chose this host and were heard recently."""
         return {
             host
-            for host, heard in self._heard.items()
-            if heard.chose_us and self._is_recent(heard)
+            for host, status in self._statuses.items()
+            if status.chose_us and self._is_recent(status)
         }
 
-    def take(self, message: PeerMessage) -> bool:
-        """Take in a message and tell whether it is not outdated."""
-        heard = self.find_incarnation(message.host, message.incarnation)
-        if heard is None:
-            heard = Heard(message.incarnation)
-            self._heard[message.host] = heard
-        elif message.seq <= heard.seq:
+    def update(self, message: PeerMessage) -> bool:
+        """Update a peer's status; return false for an outdated message."""
+        status = self.find_incarnation(message.host, message.incarnation)
+        if status is None:
+            status = Heard(message.incarnation)
+            self._statuses[message.host] = status
+        elif message.seq <= status.seq:
             return False
-        heard.take(message, self._clock.monotonic())
+        status.update(message, self._clock.monotonic())
         return True
 
-    def miss(self, host: str) -> None:
-        """Have a peer tell all again."""
-        heard = self._heard.get(host)
-        if heard is not None:
-            heard.missed = True
+    def request_full_state(self, host: str) -> None:
+        """Have a peer send its full state again."""
+        status = self._statuses.get(host)
+        if status is not None:
+            status.needs_full_state = True
 
     def forget(self, host: str) -> None:
-        """Drop what a peer told."""
-        self._heard.pop(host, None)
+        """Drop the status of a peer."""
+        self._statuses.pop(host, None)
 
-    def _is_recent(self, heard: Heard) -> bool:
-        return self._clock.monotonic() - heard.at_s <= self._silence_s
+    def _is_recent(self, status: Heard) -> bool:
+        return self._clock.monotonic() - status.received_s <= self._silence_s
--- a/src/balsamlift/peers/_incarnations.py
+++ b/src/balsamlift/peers/_incarnations.py
@@ -1,4 +1,4 @@
-"""Tell incarnations of one upstream apart: only the latest counts."""
+"""Selection of the latest incarnation of each upstream."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 def take_latest(
     listed: Iterable[Upstream], known: Iterable[Upstream]
 ) -> list[Upstream]:
-    """Return one incarnation for each id that is listed: its latest.
+    """Return the latest incarnation for each id that is listed.
 
-    An entry that tells an earlier start than one seen before, or none where
-    one was told, is a late word of an incarnation that is gone: what is
-    known then holds.
+    An entry with an earlier start than one seen before, or with none where
+    one was known, is a delayed entry of an incarnation that is gone: the
+    known incarnation is then returned instead.
     """
     known_by_id = {upstream.id: upstream for upstream in known}
     latest: dict[str, Upstream] = {}
--- a/src/balsamlift/peers/_link.py
+++ b/src/balsamlift/peers/_link.py
@@ -1,4 +1,4 @@
-"""The sending half of the connection to one peer."""
+"""The sending side of the connection to one peer."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 log = logger.bind(part="peers")
 
 SEND_BUFFER = 4  # messages that wait for the connection
-GATHER_S = 0.01  # news of this time go into one message
+BATCH_S = 0.01  # changes within this time are batched into one message
 RECONNECT_MIN_MS = 100
 RECONNECT_MAX_MS = 2_000
 
 
 @attrs.frozen
-class Told:
-    """Hold up to which change a link has told the news; None: nothing."""
+class SentChanges:
+    """Hold the change numbers up to which a link has sent; None: nothing."""
 
     members: int | None = None
     counts: int | None = None
@@ -35,24 +35,24 @@
     crash_reports: int = 0
 
     @property
-    def is_any(self) -> bool:
-        """Tell whether anything was told, so that news are enough."""
+    def any_sent(self) -> bool:
+        """Return whether anything was sent, so that changes suffice."""
         return self.counts is not None
 
 
 @attrs.frozen
 class Draft:
-    """Hold a message and what will have been told once it is sent."""
+    """Hold a message and the change numbers that sending it reaches."""
 
     message: PeerMessage
-    told: Told
+    sent_changes: SentChanges
 
 
 class Link:
-    """Send heartbeats to one peer, and see to it that they arrive.
+    """Send heartbeats to one peer, over a new connection when one fails.
 
-    A connection may go silent for good. When the peer is not heard, or
-    does not acknowledge what we send, a fresh connection takes its place.
+    A connection may go silent for good. When the peer is not heard, or does
+    not acknowledge what this host sends, the connection is replaced.
     """
 
     def __init__(
@@ -65,17 +65,18 @@
         metrics: Metrics,
         compose: Callable[[Link], Draft],
         on_silence: Callable[[str], None],
-        stretch: Callable[[], float],
+        interval_factor: Callable[[], float],
     ) -> None:
         """Send what `compose` drafts; call `on_silence` once per silence.
 
-        Heartbeats come `stretch()` times as far apart as the settings say.
+        The heartbeat interval is that of the settings times the result of
+        `interval_factor`.
         """
         self.host = host
         self.address = address
-        self.told = Told()
+        self.sent_changes = SentChanges()
         self.last_seq = 0
-        self.sent = 0
+        self.sent_messages = 0
         self.extra_members: dict[str, Member] = {}
         self._heartbeat_s = settings.heartbeat_ms / 1_000
         self._silence_s = settings.silence_ms / 1_000
@@ -84,24 +85,24 @@
         self._metrics = metrics
         self._compose = compose
         self._on_silence = on_silence
-        self._stretch = stretch
+        self._interval_factor = interval_factor
         self._acked_seq = 0
-        self._is_silence_told = False
+        self._is_silence_reported = False
         self._wake = asyncio.Event()
         now_s = clock.monotonic()
-        self._looked_s = now_s
+        self._checked_s = now_s
         self._heard_s = now_s
-        self._moved_s = now_s
+        self._acked_s = now_s
         self._socket: pynng.Push0 | None = None
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Dial and begin to send."""
+        """Dial and start sending."""
         self._dial()
         self._task = asyncio.create_task(self._keep_sending())
 
     async def stop(self) -> None:
-        """Close the connection."""
+        """Stop sending and close the connection."""
         await end_task(self._task)
         self._close()
 
@@ -109,57 +110,58 @@
         """Send without waiting for the next heartbeat."""
         self._wake.set()
 
-    def heard(self, acked_seq: int, missed: bool) -> None:
-        """Take in a message from the peer."""
+    def receive_ack(self, acked_seq: int, needs_full_state: bool) -> None:
+        """Process the acknowledgement in a message from the peer."""
         self._heard_s = self._clock.monotonic()
-        self._is_silence_told = False
-        if missed:
-            self.told = Told()
+        self._is_silence_reported = False
+        if needs_full_state:
+            self.sent_changes = SentChanges()
         if self._acked_seq < acked_seq <= self.last_seq:
             self._acked_seq = acked_seq
-            self._moved_s = self._heard_s
+            self._acked_s = self._heard_s
 
     async def _keep_sending(self) -> None:
         while True:
-            self._watch()
+            self._check_connection()
             self._send()
-            pause_s = self._heartbeat_s * self._stretch()
+            pause_s = self._heartbeat_s * self._interval_factor()
             pause_s *= self._random.uniform(0.9, 1.1)
             with suppress(TimeoutError):
                 async with asyncio.timeout(pause_s):
                     await self._wake.wait()
-                    await self._clock.sleep(GATHER_S)
+                    await self._clock.sleep(BATCH_S)
             self._wake.clear()
 
-    def _watch(self) -> None:
-        """Take a fresh connection when the present one is silent."""
+    def _check_connection(self) -> None:
+        """Replace the connection when it is silent."""
         now_s = self._clock.monotonic()
         longest_s = self._heartbeat_s + self._silence_s / 2
-        paused = now_s - self._looked_s > longest_s
-        self._looked_s = now_s
-        if paused:
-            # We stood still ourselves: what came meanwhile is not read yet.
+        was_paused = now_s - self._checked_s > longest_s
+        self._checked_s = now_s
+        if was_paused:
+            # This host itself was paused: messages that arrived meanwhile are
+            # not read yet.
             self._heard_s = now_s
-            self._moved_s = now_s
+            self._acked_s = now_s
             return
         if now_s - self._heard_s > self._silence_s:
-            self._tell_silence()
-        if now_s - min(self._heard_s, self._moved_s) > self._silence_s:
+            self._report_silence()
+        if now_s - min(self._heard_s, self._acked_s) > self._silence_s:
             self._redial(now_s)
 
-    def _tell_silence(self) -> None:
-        if not self._is_silence_told:
-            self._is_silence_told = True
+    def _report_silence(self) -> None:
+        if not self._is_silence_reported:
+            self._is_silence_reported = True
             self._on_silence(self.host)
 
     def _redial(self, now_s: float) -> None:
-        log.debug("dialling {} afresh", self.host)
+        log.debug("redialling {}", self.host)
         self._metrics.count("peers.redials")
         self._close()
         self._dial()
-        self.told = Told()
+        self.sent_changes = SentChanges()
         self._heard_s = now_s
-        self._moved_s = now_s
+        self._acked_s = now_s
 
     def _dial(self) -> None:
         push = pynng.Push0(
@@ -184,7 +186,7 @@
             self._socket = None
 
     def _send(self) -> None:
-        """Send one message; when the buffer is full, its news wait."""
+        """Send one message; when the buffer is full, its changes wait."""
         if self._socket is None:
             return
         draft = self._compose(self)
@@ -194,9 +196,9 @@
         except pynng.NNGException:
             self._metrics.count("peers.sends_dropped")
             return
-        self.told = draft.told
+        self.sent_changes = draft.sent_changes
         self.last_seq = draft.message.seq
-        self.sent += 1
+        self.sent_messages += 1
         self.extra_members.clear()
         self._metrics.count("peers.messages_sent")
         self._metrics.count("peers.bytes_sent", len(data))
--- a/src/balsamlift/peers/_links.py
+++ b/src/balsamlift/peers/_links.py
@@ -1,4 +1,4 @@
-"""The set of links: to the chosen partners, and to those who chose us."""
+"""The links to the chosen partners and to the peers that chose this host."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 from balsamlift.peers._partners import Partners
 from balsamlift.settings import PeerSettings
 
-# Where hosts do not all hear one another, load is gathered at one of them,
-# and what is urgent is sent at once: heartbeats need only come often enough
-# for a silence of six of them to hold three.
-MANY_HOSTS_STRETCH = 2.0
+# Where hosts do not all hear one another, one of them aggregates the counts,
+# and urgent changes are sent at once. So heartbeats need only be frequent
+# enough that three fit into the silence limit, which lasts six at the interval
+# of the settings.
+MANY_HOSTS_INTERVAL_FACTOR = 2.0
 
 
 class Links:
@@ -28,7 +29,7 @@
         compose: Callable[[Link], Draft],
         on_silence: Callable[[str], None],
     ) -> None:
-        """Begin with no link; see `Link` for the two functions."""
+        """Start with no link; see `Link` for the two functions."""
         self._partners = Partners(settings, clock, rng)
         self._settings = settings
         self._clock = clock
@@ -36,11 +37,11 @@
         self._compose = compose
         self._on_silence = on_silence
         self._links: dict[str, Link] = {}
-        self._stretch = 1.0
+        self._interval_factor = 1.0
         self._metrics = Metrics()
 
     def start(self, metrics: Metrics) -> None:
-        """Count traffic there."""
+        """Count the traffic of all links in `metrics`."""
         self._metrics = metrics
 
     async def stop(self) -> None:
@@ -55,9 +56,9 @@
         return self._partners.chosen
 
     @property
-    def stretch(self) -> float:
-        """Return how many times as far apart heartbeats come as set."""
-        return self._stretch
+    def interval_factor(self) -> float:
+        """Return the factor on the heartbeat interval of the settings."""
+        return self._interval_factor
 
     def find(self, host: str) -> Link | None:
         """Return the link to a host."""
@@ -68,25 +69,27 @@
         for link in self._links.values():
             link.wake()
 
-    def told_counts(self, default: int) -> int:
-        """Return up to which change every link has told the counts."""
-        told = [link.told.counts or 0 for link in self._links.values()]
-        return min(told, default=default)
+    def sent_counts_change(self, default: int) -> int:
+        """Return the change up to which every link has sent the counts."""
+        changes = [
+            link.sent_changes.counts or 0 for link in self._links.values()
+        ]
+        return min(changes, default=default)
 
     async def refresh(
         self,
         addresses: Mapping[str, str],
         dead: Collection[str],
-        askers: set[str],
+        inbound_partners: set[str],
     ) -> list[str]:
-        """Link to the chosen of these hosts, and to the `askers`.
+        """Link to the chosen of these hosts and to the `inbound_partners`.
 
-        Returns the hosts whose links it closed.
+        Return the hosts whose links were closed.
         """
         has_many = len(addresses) > self._settings.fan_out
-        self._stretch = MANY_HOSTS_STRETCH if has_many else 1.0
+        self._interval_factor = MANY_HOSTS_INTERVAL_FACTOR if has_many else 1.0
         self._partners.choose(addresses, dead)
-        wanted = (self.chosen | askers) & addresses.keys()
+        wanted = (self.chosen | inbound_partners) & addresses.keys()
         closed = [
             host
             for host, link in self._links.items()
@@ -99,7 +102,7 @@
         return closed
 
     def open(self, host: str, address: str) -> None:
-        """Open a link, unless there is one."""
+        """Open a link to a host unless there is one."""
         if host in self._links:
             return
         link = Link(
@@ -111,7 +114,7 @@
             self._metrics,
             self._compose,
             self._on_silence,
-            lambda: self._stretch,
+            lambda: self._interval_factor,
         )
         self._links[host] = link
         link.start()
--- a/src/balsamlift/peers/_listener.py
+++ b/src/balsamlift/peers/_listener.py
@@ -1,4 +1,4 @@
-"""The receiving half: one address for messages from all peers."""
+"""The receiving side: one address for messages from all peers."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         self.address = join_address(ip, bound_port)
 
     async def messages(self, metrics: Metrics) -> AsyncIterator[PeerMessage]:
-        """Yield the messages that come, until closed."""
+        """Yield the valid messages that arrive, until closed."""
         while True:
             try:
                 data = await self._pull.arecv()
@@ -49,7 +49,7 @@
                 yield decode_message(data)
             except PeerMessageError as error:
                 metrics.count("peers.messages_void")
-                log.warning("void message: {}", error)
+                log.warning("invalid message: {}", error)
 
     def close(self) -> None:
         """Close the address, which also ends `messages`."""
--- a/src/balsamlift/peers/_load.py
+++ b/src/balsamlift/peers/_load.py
@@ -1,4 +1,4 @@
-"""What all hosts together have in flight at each upstream."""
+"""The in-flight counts of all hosts together, per upstream."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 from balsamlift.peers._shared_records import SharedRecords
 from balsamlift.settings import Settings
 
-# What is known of others' counts: told by all of them, summed up by one of
-# them just now or some time ago, or worked out from those of a few.
+# How the counts of others were obtained: received from all of them, summed up
+# by one of them just now or some time ago, or extrapolated from a few.
 CountsBasis = Literal["heard", "gathered", "old", "scaled"]
 
 
 class Load:
-    """Know counts by whichever way the number of hosts allows.
+    """Obtain counts in the way that the number of hosts allows.
 
-    Up to the fan-out every host hears all others. Beyond it one gathers what
-    all tell; without its word, the sum of those heard is scaled up.
+    Up to the fan-out, every host hears all others. Beyond it, one host
+    aggregates the counts of all; without its answer, the sum over the hosts
+    heard is scaled up.
     """
 
     def __init__(
@@ -34,7 +35,7 @@
         clock: Clock,
         records: SharedRecords,
     ) -> None:
-        """Gather at the address in the settings, or at any port of `ip`."""
+        """Aggregate at the address in the settings, or any port of `ip`."""
         self.own = OwnCounts()
         self.heard = PeerCounts()
         self._fan_out = settings.peers.fan_out
@@ -51,7 +52,7 @@
     def start(
         self, members: Members, wake: Callable[[], None], metrics: Metrics
     ) -> None:
-        """Begin; `wake` sends on every link at once."""
+        """Start the exchange; `wake` sends on every link at once."""
         self._members = members
         self._wake = wake
         self._gathering.start(self._gathering_hosts, metrics)
@@ -62,12 +63,12 @@
 
     @property
     def hears_all(self) -> bool:
-        """Tell whether the other hosts are no more than the fan-out."""
+        """Return whether the other hosts are no more than the fan-out."""
         return self._members.live_others <= self._fan_out
 
     @property
     def basis(self) -> CountsBasis:
-        """Return what the sums rest on."""
+        """Return how the sums were obtained."""
         if self.hears_all:
             return "heard"
         if self._gathering.is_recent:
@@ -75,29 +76,29 @@
         return "old" if self._gathering.is_fresh else "scaled"
 
     def others(self, upstream: str) -> int:
-        """Return what the other hosts have in flight there."""
+        """Return the sum of the other hosts' counts for an upstream."""
         if not self.hears_all and self._gathering.is_fresh:
             return self._gathering.others(upstream)
         total = self.heard.total(upstream)
-        told = self.heard.hosts()
-        if self.hears_all or not told:
+        known_hosts = self.heard.host_count()
+        if self.hears_all or not known_hosts:
             return total
-        return round(total * self._members.live_others / told)
+        return round(total * self._members.live_others / known_hosts)
 
-    def tell(self) -> None:
-        """Tell the other hosts of this one's counts at once."""
+    def send(self) -> None:
+        """Send this host's counts to the other hosts at once."""
         if self.hears_all:
             self._wake()
         else:
-            self._gathering.tell()
+            self._gathering.send()
 
     async def refresh(self) -> None:
-        """Have sums of now, where hosts do not hear from all others."""
+        """Fetch current sums where hosts do not hear from all others."""
         if not self.hears_all:
             await self._gathering.refresh()
 
     def _gathering_hosts(self) -> list[GatheringHost]:
-        """Return the other hosts that may gather; none while hosts are few."""
+        """Return the hosts that may aggregate; none while hosts are few."""
         if self.hears_all:
             return []
         return [
@@ -108,5 +109,5 @@
 
 
 def ip_of(address: str) -> str:
-    """Return the IP number of "IP:port"."""
+    """Return the IP address of "IP:port"."""
     return split_address(address)[0]
--- a/src/balsamlift/peers/_members.py
+++ b/src/balsamlift/peers/_members.py
@@ -1,4 +1,4 @@
-"""The table of hosts, merged from what all of them say."""
+"""The membership table, merged from the entries that hosts send."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 
 from balsamlift.peers._messages import Member
 
-MAX_INCARNATIONS = 16  # remembered of one host
+MAX_INCARNATIONS = 16  # kept per host
 
 
 class Members:
-    """Hold the newest entry of each host, and the order of changes.
+    """Hold the newest entry of each host and the order of changes.
 
-    Changes are numbered from 1, so that a link can tell what is new to it.
+    Changes are numbered from 1, so that a link can send only what changed
+    since its last message.
     """
 
     def __init__(self, own: Member) -> None:
-        """Begin with the entry of this host."""
+        """Start with the entry of this host alone."""
         self.own = own
         self.change = 0
         self._members: dict[str, Member] = {}
@@ -29,7 +30,7 @@
         self._put(own)
 
     def __len__(self) -> int:
-        """Return the number of entries, this host's among them."""
+        """Return the number of entries, including this host's."""
         return len(self._members)
 
     @property
@@ -46,11 +47,11 @@
         return [m for m in self._members.values() if m is not self.own]
 
     def incarnations(self, host: str) -> tuple[str, ...]:
-        """Return the incarnations seen of a host, the latest last."""
+        """Return the known incarnations of a host, the latest last."""
         return tuple(self._incarnations.get(host, ()))
 
     def merge(self, member: Member) -> bool:
-        """Take in an entry and tell whether it was news."""
+        """Merge a received entry; return whether it changed the table."""
         if member.host == self.own.host:
             return self._refute(member)
         known = self._members.get(member.host)
@@ -62,34 +63,34 @@
         return True
 
     def change_own(self, **fields: Any) -> bool:
-        """Change fields of this host's entry; tell whether they differ."""
+        """Change fields of this host's entry; return whether any differ."""
         if msgspec.structs.replace(self.own, **fields) == self.own:
             return False
         self._put_own(version=self.own.version + 1, **fields)
         return True
 
     def declare_dead(self, host: str) -> bool:
-        """Mark a host as dead and tell whether it was not before."""
+        """Mark a known host as dead; return whether it was not before."""
         known = self._members.get(host)
         if known is None or known.state == "dead":
             return False
         self._put(msgspec.structs.replace(known, state="dead"))
         return True
 
-    def touch(self, host: str) -> None:
-        """Let the entry of a host be sent again."""
+    def mark_changed(self, host: str) -> None:
+        """Mark the entry of a host as changed, so that it is sent again."""
         if host in self._members:
-            self._note_change(host)
+            self._record_change(host)
 
     def forget(self, host: str) -> None:
-        """Drop all that is known of a host."""
+        """Drop the entry and the incarnations of a host."""
         self._members.pop(host, None)
         self._changes.pop(host, None)
         self._incarnations.pop(host, None)
         self._dead.discard(host)
 
     def changed_since(self, change: int) -> list[Member]:
-        """Return the entries that changed after that number."""
+        """Return the entries that changed after that change number."""
         changed = []
         for host, number in reversed(self._changes.items()):
             if number <= change:
@@ -98,18 +99,19 @@
         return changed
 
     def sample(self, rng: random.Random) -> Member:
-        """Return any one entry."""
+        """Return one entry at random."""
         return rng.choice(list(self._members.values()))
 
     def _refute(self, member: Member) -> bool:
-        """Outdo what others say of this host."""
+        """Supersede a different entry that others hold of this host."""
         own = self.own
         if member.order < own.order or member == own:
             return False
         if member.incarnation != own.incarnation:
             self._put_own(epoch=member.epoch + 1)
             return True
-        # What is equal but for the version is our own word come back.
+        # An entry that differs only in its version is this host's own,
+        # returned by a peer.
         self._put_own(version=member.version + 1)
         return True
 
@@ -123,14 +125,14 @@
             self._dead.add(member.host)
         else:
             self._dead.discard(member.host)
-        self._note_change(member.host)
+        self._record_change(member.host)
         seen = self._incarnations.setdefault(member.host, [])
         if member.incarnation in seen:
             seen.remove(member.incarnation)
         seen.append(member.incarnation)
         del seen[:-MAX_INCARNATIONS]
 
-    def _note_change(self, host: str) -> None:
+    def _record_change(self, host: str) -> None:
         self.change += 1
         self._changes.pop(host, None)
         self._changes[host] = self.change
--- a/src/balsamlift/peers/_membership.py
+++ b/src/balsamlift/peers/_membership.py
@@ -1,4 +1,4 @@
-"""Membership and load: what the hosts tell each other."""
+"""Cluster membership and in-flight counts, exchanged between hosts."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from balsamlift.kernel import Kernel
 from balsamlift.metrics import Metrics
 from balsamlift.operators import OperatorsServer
-from balsamlift.peers._composer import Composer, Status
+from balsamlift.peers._composer import Composer, OwnStatus
 from balsamlift.peers._configuration import ConfigurationFinder
 from balsamlift.peers._crash_reports import CrashReports
-from balsamlift.peers._heard import HeardPeers
+from balsamlift.peers._heard import PeerStatuses
 from balsamlift.peers._hosts_view import HostsHandler
 from balsamlift.peers._link import Draft, Link
 from balsamlift.peers._links import Links
@@ -33,23 +33,24 @@
 from balsamlift.peers._receiver import Receiver
 from balsamlift.peers._shared_records import SharedRecords
 from balsamlift.peers._sharing import Sharing
-from balsamlift.peers._told import ToldUpstreams
+from balsamlift.peers._upstream_gossip import UpstreamGossip
 from balsamlift.peers._upstreams import Upstreams
 from balsamlift.settings import Settings
 from balsamlift.timeline import Timeline
 
 log = logger.bind(part="peers")
 
-# One is asked by all others; the second knows as much when it is gone.
+# All other hosts ask the first one. The second is as up to date and takes over
+# when the first is gone.
 READERS_OF_MANY = 2
 
 
 class Peers:
-    """Know the other hosts: who lives, and what they have in flight.
+    """Track the other hosts: which are live, and their in-flight counts.
 
     Each host listens on one address and keeps a sending connection to each
-    partner. Partners are all hosts up to `fan_out`, else some at random;
-    what is known of a host travels on from partner to partner.
+    partner. Up to `fan_out` other hosts, all are partners; beyond that, some
+    are chosen at random, and partners forward what they know of a host.
     """
 
     name = "peers"
@@ -64,7 +65,7 @@
     ) -> None:
         """Listen on `settings.peers_address`; see `address` for the port.
 
-        `incarnation` is drawn anew at each start of a daemon, and
+        `incarnation` is generated at each start of a daemon, and
         `callers_address` is the bound one. Raises `PeersAddressError`.
         """
         self._settings = settings
@@ -96,20 +97,20 @@
         self._dead_since_s: dict[str, float] = {}
         self._notes = Notes()
         self.crash_reports = CrashReports(clock)
-        self._told = ToldUpstreams(self._notes, clock)
+        self._upstream_gossip = UpstreamGossip(self._notes, clock)
         silence_s = settings.peers.silence_ms / 1_000
-        self._heard = HeardPeers(clock, silence_s)
+        self._peer_statuses = PeerStatuses(clock, silence_s)
         self._composer = Composer(
             self._members,
             self._load.own,
             self._notes,
             self.crash_reports,
-            self._heard,
+            self._peer_statuses,
             clock,
             rng,
         )
         self._links = Links(
-            settings.peers, clock, rng, self._compose, self._silent
+            settings.peers, clock, rng, self._compose, self._handle_silence
         )
         self._on_change: list[Callable[[], None]] = []
         self._on_version: list[Callable[[int, str], None]] = []
@@ -118,7 +119,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to receive, and to send to the hosts on the list."""
+        """Start receiving, and sending to the hosts on the list."""
         self._configuration.start(kernel)
         self._timeline = kernel.find("timeline", Timeline)
         self._metrics = kernel.find("metrics", Metrics)
@@ -129,23 +130,23 @@
         operators.add_routes([(r"/v1/hosts", HostsHandler, arguments)])
         self._links.start(self._metrics)
         self._load.start(self._members, self._links.wake, self._metrics)
-        self._told.start(self._upstreams, self._links.wake)
+        self._upstream_gossip.start(self._upstreams, self._links.wake)
         self.crash_reports.start(self._links.wake)
-        self._upstreams.share_probes(self._sharers)
-        self._upstreams.share_reading(self._reads_often)
+        self._upstreams.share_probes(self._probing_hosts)
+        self._upstreams.share_reading(self._reads_list_often)
         self._receiver = Receiver(
             members=self._members,
-            heard=self._heard,
+            peer_statuses=self._peer_statuses,
             load=self._load,
             links=self._links,
-            told=self._told,
+            upstream_gossip=self._upstream_gossip,
             crash_reports=self.crash_reports,
             sharing=self.sharing,
             upstreams=self._upstreams,
             timeline=self._timeline,
             addresses=self._addresses,
             on_member=self._member_changed,
-            on_version=self._version_received,
+            on_version=self._handle_version,
         )
         self._tasks = [
             asyncio.create_task(self._keep_receiving()),
@@ -153,9 +154,9 @@
         ]
 
     async def stop(self) -> None:
-        """Close the address and every connection."""
-        # First the address: a receive that completes while it is being
-        # cancelled swallows the cancellation.
+        """Close the listening address and every connection."""
+        # The address is closed first: a receive that completes while it is
+        # being cancelled swallows the cancellation.
         self._listener.close()
         for task in self._tasks:
             await end_task(task)
@@ -164,21 +165,21 @@
 
     @property
     def own(self) -> Member:
-        """Return this host's own entry."""
+        """Return this host's own membership entry."""
         return self._members.own
 
     @property
     def offset(self) -> int:
-        """Return up to where this host has folded the configuration."""
+        """Return the configuration offset that this host has applied."""
         return self._configuration.find().offset
 
     @property
     def caught_up(self) -> bool:
-        """Tell whether this host's configuration is caught up."""
+        """Return whether this host's configuration is caught up."""
         return self._configuration.find().caught_up
 
     def live(self) -> list[Peer]:
-        """Return the other hosts that live, the leaving ones too."""
+        """Return the other hosts that are not dead, also leaving ones."""
         return [
             self._peer(member)
             for member in self._members.others()
@@ -186,14 +187,14 @@
         ]
 
     def find(self, host: str) -> Peer | None:
-        """Return another host, if it lives."""
+        """Return another host unless it is unknown or dead."""
         member = self._members.find(host)
         if member is None or member is self.own or member.state == "dead":
             return None
         return self._peer(member)
 
     def known_incarnations(self, host: str) -> tuple[str, ...]:
-        """Return the incarnations seen of a host, the latest last."""
+        """Return the known incarnations of a host, the latest last."""
         return self._members.incarnations(host)
 
     def in_flight(self, upstream: str) -> int:
@@ -201,29 +202,29 @@
         return self._load.others(upstream)
 
     def set_in_flight(self, upstream: str, n: int) -> None:
-        """Tell peers of this host's count with the next heartbeat."""
+        """Set this host's count, to be sent with the next heartbeat."""
         self._load.own.set(upstream, n)
 
     def tell_counts(self) -> None:
-        """Tell peers of this host's counts at once."""
-        self._load.tell()
+        """Send this host's counts to peers at once."""
+        self._load.send()
 
     async def refresh_counts(self) -> None:
-        """Have counts of now, where hosts do not hear from all others."""
+        """Fetch current counts where hosts do not hear from all others."""
         await self._load.refresh()
 
     @property
     def counts_basis(self) -> CountsBasis:
-        """Return what `in_flight` rests on."""
+        """Return how `in_flight` is obtained."""
         return self._load.basis
 
     @property
     def hears_all(self) -> bool:
-        """Tell whether hosts are so few that each hears all others."""
+        """Return whether hosts are so few that each hears all others."""
         return self._load.hears_all
 
     def place_for(self, subject: str) -> Place:
-        """Return this host's place among the live ones, for that subject."""
+        """Return this host's rank among the live hosts for that subject."""
         others = [
             member.host
             for member in self._members.others()
@@ -232,111 +233,114 @@
         return find_place(self.own.host, others, subject)
 
     def known_place_for(self, subject: str) -> Place:
-        """Return this host's place among all known, also those now silent.
+        """Return this host's rank among all known hosts, also silent ones.
 
-        Hosts that are cut off from one another still agree on these.
+        Hosts on both sides of a network partition still agree on it.
         """
         others = {member.host for member in self._members.others()}
         others |= {host.host for host in self._upstreams.entry_hosts()}
         others.discard(self.own.host)
         return find_place(self.own.host, others, subject)
 
-    def note_upstream(self, name: str, state: UpstreamState) -> None:
-        """Tell peers at once that an upstream is leaving or dead."""
+    def report_upstream(self, name: str, state: UpstreamState) -> None:
+        """Report to peers at once that an upstream is leaving or dead."""
         upstream = self._upstreams.find(name)
         if upstream is not None and state != "live":
-            self._told.tell(attrs.evolve(upstream, state=state))
+            self._upstream_gossip.publish(attrs.evolve(upstream, state=state))
 
     def announce_leaving(self) -> None:
-        """Tell peers at once that this host is leaving."""
+        """Announce to peers at once that this host is leaving."""
         self._change_own(state="leaving")
 
     def set_key_prefix(self, key_prefix: str) -> None:
-        """Tell peers at once which keys this host is the home of."""
+        """Announce at once which keys this host is the home of."""
         self._change_own(key_prefix=key_prefix)
 
     def set_taken_over(self, homes: Sequence[str]) -> None:
-        """Tell peers at once whose keys were handed to this host."""
+        """Announce at once the homes whose keys this host took over."""
         self._change_own(taken_over=list(homes))
 
     @property
     def leaving(self) -> bool:
-        """Tell whether this host is leaving."""
+        """Return whether this host is leaving."""
         return self._members.own.state == "leaving"
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Call back after each change of a host."""
+        """Call back after each change of another host's entry."""
         self._on_change.append(callback)
 
     def on_version(self, callback: Callable[[int, str], None]) -> None:
-        """Call back with each configuration version received, and its host."""
+        """Call back with each configuration version received and its host."""
         self._on_version.append(callback)
 
-    def _version_received(self, version: int, host: str) -> None:
+    def _handle_version(self, version: int, host: str) -> None:
         for callback in self._on_version:
             callback(version, host)
 
     def _peer(self, member: Member) -> Peer:
-        heard = self._heard.find_incarnation(member.host, member.incarnation)
-        return describe(member, heard)
+        peer_status = self._peer_statuses.find_incarnation(
+            member.host, member.incarnation
+        )
+        return describe(member, peer_status)
 
     def _change_own(self, **fields: Any) -> None:
         if self._members.change_own(**fields):
             self._links.wake()
 
-    def _sharers(self) -> list[str]:
+    def _probing_hosts(self) -> list[str]:
         others = self._members.others()
         live = [member.host for member in others if member.state == "live"]
         return [self.own.host, *live]
 
-    def _reads_often(self) -> bool:
-        """Tell whether to read the list often.
+    def _reads_list_often(self) -> bool:
+        """Return whether to read the list often.
 
-        Among many hosts the source waits for news by itself.
+        With many hosts, the source itself waits for changes.
         """
         return not self.hears_all or self.reads_for_others()
 
     @property
     def reads_records(self) -> bool:
-        """Tell whether this host reads the platform's records by itself.
+        """Return whether this host reads the platform's records itself.
 
-        All of few hosts do. Of many, some read for all, and so does any
-        host that others ask, whatever it thinks of its own rank.
+        Where hosts are few, all do. Where they are many, some read for all,
+        and so does any host that others ask, whatever rank it computes for
+        itself.
         """
         if self.hears_all or self.records.is_asked:
             return True
         return self.reads_for_others(READERS_OF_MANY)
 
-    def reads_for_others(self, most: int | None = None) -> bool:
-        """Tell whether this host tells the others how the list changes."""
+    def reads_for_others(self, max_readers: int | None = None) -> bool:
+        """Return whether this host sends changes of the list to the others."""
         readers = [
             member.host
             for member in self._members.others()
             if member.state == "live"
-            and not self._heard.lacks_list(member.host)
+            and not self._peer_statuses.lacks_list(member.host)
         ]
-        if most is None:
-            most = self._settings.platform.hosts_readers
-        return is_reader(self.own.host, readers, most)
+        if max_readers is None:
+            max_readers = self._settings.platform.hosts_readers
+        return is_reader(self.own.host, readers, max_readers)
 
     # Receiving
 
     async def _keep_receiving(self) -> None:
         async for message in self._listener.messages(self._metrics):
             try:
-                self._receiver.take(message)
+                self._receiver.process(message)
             except Exception:
-                # One bad message must not make this host deaf.
-                log.exception("could not take a message in")
+                # One bad message must not end the receiving task.
+                log.exception("could not process a message")
 
     # Sending
 
     def _compose(self, link: Link) -> Draft:
-        heard = self._heard.find(link.host)
+        peer_status = self._peer_statuses.find(link.host)
         shared = self.sharing.compose(
-            link.host, heard, self.offset, self._upstreams
+            link.host, peer_status, self.offset, self._upstreams
         )
-        status = Status(
+        status = OwnStatus(
             stamp=self._timeline.stamp(),
             offset=self.offset,
             caught_up=self.caught_up,
@@ -348,7 +352,7 @@
         return self._composer.compose(link, status)
 
     def _wants_members(self) -> bool:
-        """Tell whether this host knows few of the hosts on the list."""
+        """Return whether this host knows under half of the listed hosts."""
         listed = len(self._upstreams.entry_hosts())
         return len(self._members) * 2 < listed
 
@@ -360,16 +364,19 @@
             closed = await self._links.refresh(
                 self._addresses(),
                 self._dead_since_s.keys(),
-                self._heard.askers(),
+                self._peer_statuses.inbound_partners(),
             )
             for host in closed:
                 self._drop_counts(host)
-            self._forget()
+            self._drop_expired()
             self._metrics.gauge("peers.live", self._members.live_others)
-            await self._clock.sleep(heartbeat_s * self._links.stretch)
+            await self._clock.sleep(heartbeat_s * self._links.interval_factor)
 
     def _addresses(self) -> dict[str, str]:
-        """Return where other hosts listen: their own word before the list."""
+        """Return the peer addresses of other hosts.
+
+        A host's own entry takes precedence over the list.
+        """
         addresses = {
             host.host: host.peers_address
             for host in self._upstreams.entry_hosts()
@@ -381,12 +388,12 @@
         addresses.pop(self.own.host, None)
         return addresses
 
-    def _silent(self, host: str) -> None:
+    def _handle_silence(self, host: str) -> None:
         if host in self._links.chosen and self._members.declare_dead(host):
             self._member_changed(host)
 
     def _member_changed(self, host: str) -> None:
-        """Report a change of a host's entry and tell of it."""
+        """Record a change of a host's entry and send it to the peers."""
         member = self._members.find(host)
         if member is None or member is self.own:
             return
@@ -408,19 +415,21 @@
             callback()
 
     def _drop_counts(self, host: str) -> None:
-        """Drop a host's counts, and ask for all of them should it come."""
+        """Drop a host's counts and request all of them if it is heard."""
         self._load.heard.drop(host)
-        self._heard.miss(host)
+        self._peer_statuses.request_full_state(host)
 
-    def _forget(self) -> None:
-        """Drop what is too old to matter."""
+    def _drop_expired(self) -> None:
+        """Drop expired reports, sent zero counts and hosts long dead."""
         now_s = self._clock.monotonic()
         self._notes.expire(now_s)
-        told = self._links.told_counts(default=self._load.own.change)
-        self._load.own.drop_told(told)
+        sent_change = self._links.sent_counts_change(
+            default=self._load.own.change
+        )
+        self._load.own.drop_told(sent_change)
         keep_s = self._settings.limits.key_lifetime_ms / 1_000
         for host, since_s in list(self._dead_since_s.items()):
             if now_s - since_s > keep_s:
                 del self._dead_since_s[host]
-                self._heard.forget(host)
+                self._peer_statuses.forget(host)
                 self._members.forget(host)
--- a/src/balsamlift/peers/_messages.py
+++ b/src/balsamlift/peers/_messages.py
@@ -1,8 +1,8 @@
-"""What hosts send each other, and its encoding.
+"""Messages between hosts, and their encoding.
 
-Fields go by position: names would be half of the bytes. A newer version adds
-its fields last, with defaults. Messages are structs of msgspec, not attrs
-classes, as its codec reads and checks these in one step.
+Fields are encoded by position: names would be half of the bytes. A newer
+version appends its fields, with defaults. Messages are msgspec structs, not
+attrs classes, because its codec decodes and validates these in one step.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """Hold what is known of one host; the greatest `order` is the newest.
+    """Describe one host; of two entries, the greater `order` is newer.
 
-    A host raises its `version` with each change, and its `epoch` when it
-    finds a later incarnation under its own name.
+    A host increments its `version` with each change, and its `epoch` when it
+    finds a newer entry of another incarnation under its own name.
     """
 
     host: str
@@ -37,19 +37,19 @@
     callers_address: str
     peers_address: str
     failure_domain: str
-    key_prefix: str = ""  # of keys that this host is home to
-    # Homes that left and handed their keys to this host.
+    key_prefix: str = ""  # of the keys that this host is the home of
+    # Homes that left and handed their keys over to this host.
     taken_over: list[str] = msgspec.field(default_factory=list)
-    counts_address: str = ""  # where it gathers the counts of all hosts
+    counts_address: str = ""  # where it aggregates the counts of all hosts
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """Return the key that says which of two entries is newer."""
+        """Return the sort key by which the newer of two entries is greater."""
         return self.epoch, self.version, STATES.index(self.state)
 
 
 class UpstreamNote(msgspec.Struct, frozen=True, array_like=True):
-    """Tell of one incarnation of an upstream, for a limited time."""
+    """Report the state of one incarnation of an upstream until it expires."""
 
     name: str
     address: str
@@ -67,29 +67,31 @@
 
 
 class Shared(msgspec.Struct, frozen=True, array_like=True):
-    """Hold what goes between hosts when one cannot read the platform."""
+    """Hold platform data for a host that cannot read the platform."""
 
-    wants_list: bool = False  # the sender cannot read the list
+    wants_list: bool = False  # the sender cannot read the list itself
     configuration: bytes = b""  # as operators wrote it
     listed: list[ListEntry] = msgspec.field(default_factory=list)
 
 
 class PeerMessage(msgspec.Struct, frozen=True, array_like=True):
-    """Hold one heartbeat and the news that go with it.
+    """Hold one heartbeat and the state changes that it carries.
 
     Only what has changed since the last message on the link is sent.
     """
 
     host: str
     incarnation: str
-    seq: int  # grows over all messages of the incarnation
-    previous_seq: int  # of the message before on this link; 0: tells all
-    acked_seq: int  # the latest heard from the receiver
-    missed: bool  # a message from the receiver was lost: tell all again
+    seq: int  # increases over all messages of the incarnation
+    previous_seq: int  # of the previous message on the link; 0: full state
+    acked_seq: int  # the latest received from the receiver
+    needs_full_state: (
+        bool  # a message from the receiver was lost: send the full state
+    )
     stamp: str
     offset: int  # of the configuration
     caught_up: bool
-    chosen: bool  # the sender picked the receiver and wants answers
+    chosen: bool  # the sender chose the receiver and expects messages back
     wants_members: bool = False
     members: list[Member] = msgspec.field(default_factory=list)
     counts: dict[str, int] = msgspec.field(default_factory=dict)
@@ -101,18 +103,18 @@
 
 
 class CountsUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """Hold all that one host has in flight, by upstream."""
+    """Hold the in-flight counts of one host, by upstream."""
 
     host: str
     incarnation: str
-    seq: int  # grows over all updates of the incarnation
+    seq: int  # increases over all updates of the incarnation
     counts: dict[str, int]
-    wants_sums: bool  # of all other hosts, as the answer
-    position: Position | None = None  # to be told what is newer
+    wants_sums: bool  # the answer is to hold the sums over all other hosts
+    position: Position | None = None  # the answer is to hold newer records
 
 
 class CountsSums(msgspec.Struct, frozen=True, array_like=True):
-    """Hold what all other hosts have in flight, by upstream."""
+    """Hold the sums of the other hosts' in-flight counts, by upstream."""
 
     counts: dict[str, int]
     records: RecordsAnswer | None = None
@@ -124,27 +126,27 @@
 
 
 def encode_message(message: PeerMessage) -> bytes:
-    """Return the message in msgpack."""
+    """Return the message encoded as msgpack."""
     return msgspec.msgpack.encode(message)
 
 
 def decode_message(data: bytes) -> PeerMessage:
-    """Return the message; raise `PeerMessageError`."""
+    """Return the decoded message; raise `PeerMessageError`."""
     return _decode(data, _message_decoder)
 
 
 def encode_counts(message: CountsUpdate | CountsSums) -> bytes:
-    """Return the message in msgpack."""
+    """Return the update or the sums encoded as msgpack."""
     return msgspec.msgpack.encode(message)
 
 
 def decode_update(data: bytes) -> CountsUpdate:
-    """Return the update; raise `PeerMessageError`."""
+    """Return the decoded update; raise `PeerMessageError`."""
     return _decode(data, _update_decoder)
 
 
 def decode_sums(data: bytes) -> CountsSums:
-    """Return the sums; raise `PeerMessageError`."""
+    """Return the decoded sums; raise `PeerMessageError`."""
     return _decode(data, _sums_decoder)
 
 
@@ -154,4 +156,4 @@
     try:
         return decoder.decode(data)
     except msgspec.MsgspecError as error:
-        raise PeerMessageError(f"not a message ({error})") from error
+        raise PeerMessageError(f"cannot decode message: {error}") from error
--- a/src/balsamlift/peers/_notes.py
+++ b/src/balsamlift/peers/_notes.py
@@ -1,4 +1,4 @@
-"""Notes on upstreams, passed on from host to host for a limited time."""
+"""Reports of upstream states, forwarded between hosts until they expire."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from balsamlift.peers._upstream import Upstream
 
 NOTE_TTL_MS = 30_000  # longer than the platform's list lags
-# A copy that lives this much longer is a new note. What the list says is
-# told after each read, which must not make a new note each time.
+# A copy that expires this much later is a new report. States on the list are
+# reported after each read, which must not create a new report each time.
 RENEWAL_S = {"dead": 5.0, "leaving": 15.0}
-MAX_NOTES = 5_000
+MAX_REPORTS = 5_000
 
 _MS_PER_S = 1_000
-_NoteKey = tuple[str, str, str]
+_ReportKey = tuple[str, str, str]
 
 
-def new_note(upstream: Upstream) -> UpstreamNote:
-    """Return a note on an upstream as it is seen now."""
+def create_report(upstream: Upstream) -> UpstreamNote:
+    """Return a report of the present state of an upstream."""
     return UpstreamNote(
         name=upstream.name,
         address=upstream.address,
@@ -31,74 +31,79 @@
 
 
 @attrs.define
-class _Kept:
-    note: UpstreamNote
+class _Entry:
+    report: UpstreamNote
     expires_s: float
     change: int
     is_applied: bool = False
 
 
 class Notes:
-    """Hold the notes in circulation and the order in which they came.
+    """Hold the unexpired reports in the order in which they arrived.
 
-    Every host lets a note expire at about the same time: passing it on
-    gives the remaining time, so it cannot circulate for ever.
+    A report is forwarded with its remaining TTL, so it expires at about the
+    same time on every host and cannot circulate for ever.
     """
 
     def __init__(self) -> None:
-        """Begin with no note."""
+        """Start with no report."""
         self.change = 0
-        self._kept: dict[_NoteKey, _Kept] = {}  # oldest first
+        self._entries: dict[_ReportKey, _Entry] = {}  # oldest first
 
     def add(
-        self, note: UpstreamNote, now_s: float, *, is_own: bool = False
+        self, report: UpstreamNote, now_s: float, *, is_own: bool = False
     ) -> bool:
-        """Keep a note and tell whether it was news."""
-        if note.state not in RENEWAL_S:
+        """Add a report and return whether it was new."""
+        if report.state not in RENEWAL_S:
             return False
-        key = note.name, note.address, note.state
-        expires_s = now_s + min(note.ttl_ms, NOTE_TTL_MS) / _MS_PER_S
-        known = self._kept.get(key)
+        key = report.name, report.address, report.state
+        expires_s = now_s + min(report.ttl_ms, NOTE_TTL_MS) / _MS_PER_S
+        known = self._entries.get(key)
         if expires_s <= now_s or (
             known is not None
-            and expires_s < known.expires_s + RENEWAL_S[note.state]
+            and expires_s < known.expires_s + RENEWAL_S[report.state]
         ):
             return False
-        self._kept.pop(key, None)
-        if len(self._kept) >= MAX_NOTES:
-            del self._kept[next(iter(self._kept))]
+        self._entries.pop(key, None)
+        if len(self._entries) >= MAX_REPORTS:
+            del self._entries[next(iter(self._entries))]
         self.change += 1
-        self._kept[key] = _Kept(note, expires_s, self.change, is_own)
+        self._entries[key] = _Entry(report, expires_s, self.change, is_own)
         return True
 
     def to_apply(
         self, find_address: Callable[[str], str]
     ) -> list[UpstreamNote]:
-        """Return, once each, the peers' notes on known incarnations.
+        """Return, once each, the peers' reports on known incarnations.
 
-        `find_address` gives the address of an upstream, or nothing.
+        `find_address` returns the address of an upstream; "": unknown.
         """
         found = []
-        for kept in self._kept.values():
-            note = kept.note
-            if not kept.is_applied and find_address(note.name) == note.address:
-                kept.is_applied = True
-                found.append(note)
+        for entry in self._entries.values():
+            report = entry.report
+            if (
+                not entry.is_applied
+                and find_address(report.name) == report.address
+            ):
+                entry.is_applied = True
+                found.append(report)
         return found
 
     def changed_since(self, change: int, now_s: float) -> list[UpstreamNote]:
-        """Return the notes that came after that number."""
+        """Return the reports after that change, with their remaining TTL."""
         found = []
-        for kept in reversed(self._kept.values()):
-            if kept.change <= change:
+        for entry in reversed(self._entries.values()):
+            if entry.change <= change:
                 break
-            ttl_ms = int((kept.expires_s - now_s) * _MS_PER_S)
+            ttl_ms = int((entry.expires_s - now_s) * _MS_PER_S)
             if ttl_ms > 0:
-                found.append(msgspec.structs.replace(kept.note, ttl_ms=ttl_ms))
+                found.append(
+                    msgspec.structs.replace(entry.report, ttl_ms=ttl_ms)
+                )
         return found
 
     def expire(self, now_s: float) -> None:
-        """Drop the notes whose time is over."""
-        for key, kept in list(self._kept.items()):
-            if kept.expires_s <= now_s:
-                del self._kept[key]
+        """Drop the expired reports."""
+        for key, entry in list(self._entries.items()):
+            if entry.expires_s <= now_s:
+                del self._entries[key]
--- a/src/balsamlift/peers/_peer.py
+++ b/src/balsamlift/peers/_peer.py
@@ -1,4 +1,4 @@
-"""A peer as other parts see it."""
+"""The view of another host that is given to other parts of the program."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen(kw_only=True)
 class Peer:
-    """Describe one other host as it is known now."""
+    """Describe one other host as this host knows it now."""
 
     host: str
     incarnation: str
@@ -22,11 +22,11 @@
     taken_over: tuple[str, ...] = ()  # homes whose keys were handed to it
     offset: int = 0  # of its configuration; 0 until heard directly
     caught_up: bool = False
-    last_heard_s: float | None = None  # monotonic; None: known by others
+    last_heard_s: float | None = None  # monotonic; None: never heard directly
 
 
-def describe(member: Member, heard: Heard | None) -> Peer:
-    """Return the peer of a table entry and what it told itself."""
+def describe(member: Member, status: Heard | None) -> Peer:
+    """Return the view of a membership entry and the peer's last status."""
     return Peer(
         host=member.host,
         incarnation=member.incarnation,
@@ -36,7 +36,7 @@
         leaving=member.state == "leaving",
         key_prefix=member.key_prefix,
         taken_over=tuple(member.taken_over),
-        offset=heard.offset if heard else 0,
-        caught_up=heard.caught_up if heard else False,
-        last_heard_s=heard.at_s if heard else None,
+        offset=status.offset if status else 0,
+        caught_up=status.caught_up if status else False,
+        last_heard_s=status.received_s if status else None,
     )
--- a/tests/_shared_counts.py
+++ b/tests/_shared_counts.py
@@ -1,4 +1,4 @@
-"""What all hosts hold, as each of them knows it a moment later."""
+"""In-flight counts of several hosts, shared with a delay, for tests."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from balsamlift.peers import CountsBasis, Place
 from balsamlift.peers._readers import find_place
 
-TOLD_S = 0.004  # until the other hosts know what one holds
+SEND_DELAY_S = 0.004  # until the counts of one host reach the others
 
 
 class Counts:
-    """What all hosts hold, as each of them knows it a moment later."""
+    """The counts of all hosts, as last sent by each of them."""
 
     def __init__(self, hosts: int = 1) -> None:
         self.hosts = hosts
@@ -27,7 +27,7 @@
 
 
 class HostCounts:
-    """The counts as one host tells and hears them."""
+    """The counts that one host sends and receives, in place of `Peers`."""
 
     def __init__(self, counts: Counts, host: int) -> None:
         self._counts = counts
@@ -47,13 +47,13 @@
         self._own[upstream] = n
 
     def tell_counts(self) -> None:
-        told = dict(self._own)
+        sent = dict(self._own)
         asyncio.get_running_loop().call_later(
-            TOLD_S, self._counts.by_host.__setitem__, self._host, told
+            SEND_DELAY_S, self._counts.by_host.__setitem__, self._host, sent
         )
 
     async def refresh_counts(self) -> None:
-        await asyncio.sleep(TOLD_S)
+        await asyncio.sleep(SEND_DELAY_S)
         self._others = self._counts.sums(self._host)
 
     def place_for(self, subject: str) -> Place:
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -174,7 +174,10 @@
 def test_a_crashing_request_is_refused_by_all_hosts(
     hosts: int, seed: int
 ) -> None:
-    """Guards against restarted hosts that run a known crashing request."""
+    """Guards against restarted hosts that run a known crashing request.
+
+    A restarted host has no reports until its peers send them.
+    """
     simulations: list[Simulation] = []
 
     async def main() -> None:
@@ -204,7 +207,7 @@
 
 def test_reports_are_bounded_in_number() -> None:
     reports = create_reports(MAX_REPORTS + 10)
-    assert len(reports._kept) == MAX_REPORTS
+    assert len(reports._entries) == MAX_REPORTS
 
 
 def test_forwarded_reports_expire_at_about_the_same_time() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,3 +1,5 @@
+"""Membership, liveness and in-flight counts between hosts in one process."""
+
 import asyncio
 import random
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -67,20 +69,21 @@
 
 
 class Cluster:
-    """Hosts in one process, and the platform's list for them."""
+    """Hosts in one process, and a stand-in for the platform's list."""
 
     def __init__(
         self,
         fan_out: int,
         list_poll_ms: int,
-        pace: int = 1,
+        interval_factor: int = 1,
         list_readers: int = 9,
     ) -> None:
         self.listed: dict[str, dict[str, str]] = {}
         self.hosts: dict[str, Host] = {}
         self.platform = OperatorsServer("127.0.0.1:0")
         self._fan_out = fan_out
-        self._pace = pace  # how many times slower heartbeats come
+        # Multiplies the heartbeat interval and the silence limit.
+        self._interval_factor = interval_factor
         self._list_poll_ms = list_poll_ms
         self._list_readers = list_readers
         arguments = {"hosts": self.listed}
@@ -102,11 +105,11 @@
                 hosts_poll_ms=self._list_poll_ms,
                 hosts_readers=self._list_readers,
             ),
-            # Services: nothing probes them while they are live.
+            # Services, because nothing probes these while they are live.
             pools={"p": PoolSettings(kind="service")},
             peers=PeerSettings(
-                heartbeat_ms=HEARTBEAT_MS * self._pace,
-                silence_ms=SILENCE_MS * self._pace,
+                heartbeat_ms=HEARTBEAT_MS * self._interval_factor,
+                silence_ms=SILENCE_MS * self._interval_factor,
                 fan_out=self._fan_out,
             ),
             seed=7,
@@ -177,11 +180,11 @@
             await asyncio.sleep(0.02)
 
 
-def pace_of(number: int) -> int:
-    """Return how much slower heartbeats have to come in a large cluster.
+def interval_factor_for(number: int) -> int:
+    """Return the factor on the heartbeat interval for a cluster of that size.
 
-    All hosts share one process: twelve at 50 ms leave it no time to spare
-    beside other busy ones, and it calls hosts dead for want of heartbeats.
+    All hosts share one process: with twelve at 50 ms and other busy processes
+    beside it, heartbeats are late and live hosts are declared dead.
     """
     return 3 if number >= 12 else 1
 
@@ -190,11 +193,11 @@
     scenario: Callable[[Cluster], Awaitable[None]],
     fan_out: int = 16,
     list_poll_ms: int = 100,
-    pace: int = 1,
+    interval_factor: int = 1,
     list_readers: int = 9,
 ) -> None:
     async def main() -> None:
-        cluster = Cluster(fan_out, list_poll_ms, pace, list_readers)
+        cluster = Cluster(fan_out, list_poll_ms, interval_factor, list_readers)
         await cluster.platform.start(Kernel())
         try:
             await scenario(cluster)
@@ -207,46 +210,48 @@
 
 
 class Relay:
-    """A TCP relay whose open connections can go silent for good."""
+    """A TCP relay that can block its open connections permanently."""
 
     def __init__(self, target: str) -> None:
         self._target = target
-        self._gates: list[asyncio.Event] = []
+        self._open_events: list[asyncio.Event] = []
         self._tasks: set[asyncio.Task[None]] = set()
-        self.is_cut = False
+        self.is_closed = False
 
-    def silence(self) -> None:
-        """Let no byte pass on the connections open now."""
-        for gate in self._gates:
-            gate.clear()
+    def block(self) -> None:
+        """Forward no more bytes on the connections open now."""
+        for open_event in self._open_events:
+            open_event.clear()
 
     async def accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self.is_cut:
+        if self.is_closed:
             writer.close()
             return
         ip, _, port = self._target.rpartition(":")
-        far_reader, far_writer = await asyncio.open_connection(ip, int(port))
-        gate = asyncio.Event()
-        gate.set()
-        self._gates.append(gate)
+        target_reader, target_writer = await asyncio.open_connection(
+            ip, int(port)
+        )
+        open_event = asyncio.Event()
+        open_event.set()
+        self._open_events.append(open_event)
         with suppress(ConnectionError, asyncio.CancelledError):
             await asyncio.gather(
-                self._pump(reader, far_writer, gate),
-                self._pump(far_reader, writer, gate),
+                self._forward(reader, target_writer, open_event),
+                self._forward(target_reader, writer, open_event),
             )
         writer.close()
-        far_writer.close()
+        target_writer.close()
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        gate: asyncio.Event,
+        open_event: asyncio.Event,
     ) -> None:
         while data := await reader.read(65_536):
-            await gate.wait()
+            await open_event.wait()
             writer.write(data)
             await writer.drain()
 
@@ -279,7 +284,7 @@
     run(scenario)
 
 
-def test_a_dead_peer_takes_its_counts_along() -> None:
+def test_counts_of_a_dead_peer_are_dropped() -> None:
     async def scenario(cluster: Cluster) -> None:
         first, second, third = await cluster.grow(3)
         second.peers.set_in_flight("e1", 5)
@@ -296,7 +301,7 @@
     run(scenario)
 
 
-def test_counts_are_told_at_once_where_asked() -> None:
+def test_counts_are_sent_at_once_on_request() -> None:
     async def scenario(cluster: Cluster) -> None:
         first, second = await cluster.grow(2)
         await until(lambda: first.peer("h01").last_heard_s)
@@ -305,10 +310,10 @@
         async with asyncio.timeout(3.0):  # before the next heartbeat
             await until(lambda: first.peers.in_flight("e1") == 5)
 
-    run(scenario, pace=100)
+    run(scenario, interval_factor=100)
 
 
-def test_leaving_is_announced() -> None:
+def test_a_leaving_host_announces_it() -> None:
     async def scenario(cluster: Cluster) -> None:
         hosts = await cluster.grow(3)
         changes: list[str] = []
@@ -351,13 +356,13 @@
         async with relay_to(second.peers.address) as (relay, address):
             cluster.list_host("h00")
             cluster.list_host("h01", address)
-            # Its own word must not lead around the relay.
+            # Its own entry must not give an address that bypasses the relay.
             second.peers._members.change_own(peers_address=address)
             await first.kernel.start()
             await second.kernel.start()
             await until(lambda: cluster.all_live(2))
             before = first.metrics.snapshot().counters.get("peers.redials", 0)
-            relay.silence()
+            relay.block()
             first.peers.set_in_flight("e1", 9)
             await until(lambda: second.peers.in_flight("e1") == 9)
             after = first.metrics.snapshot().counters["peers.redials"]
@@ -367,19 +372,21 @@
     run(scenario)
 
 
-def test_a_host_cut_from_one_peer_lives_by_the_others_word() -> None:
+def test_a_host_unreachable_for_one_peer_stays_live_through_another() -> None:
     async def scenario(cluster: Cluster) -> None:
         first, second, third = (
             cluster.build(name) for name in ("h00", "h01", "h02")
         )
         async with relay_to(second.peers.address) as (relay, address):
-            # h00 and h01 reach each other in neither direction.
-            relay.is_cut = True
+            # h00 and h01 cannot reach each other in either direction.
+            relay.is_closed = True
             for name in ("h00", "h01", "h02"):
                 cluster.list_host(name)
-            cut_from = {"h00": second, "h01": first}
-            for name, other in cut_from.items():
-                cut(cluster.hosts[name].peers, other.peers.own.host, address)
+            unreachable = {"h00": second, "h01": first}
+            for name, other in unreachable.items():
+                redirect(
+                    cluster.hosts[name].peers, other.peers.own.host, address
+                )
             for host in (first, second, third):
                 await host.kernel.start()
             await until(lambda: cluster.all_live(3))
@@ -395,17 +402,17 @@
     run(scenario)
 
 
-def cut(peers: Peers, host: str, address: str) -> None:
-    """Let every link to one host lead to `address`."""
+def redirect(peers: Peers, host: str, address: str) -> None:
+    """Redirect every link to one host to `address`."""
     addresses = peers._addresses
 
-    def changed() -> dict[str, str]:
+    def redirected() -> dict[str, str]:
         return {
             name: address if name == host else known
             for name, known in addresses().items()
         }
 
-    peers._addresses = changed  # type: ignore[method-assign]
+    peers._addresses = redirected  # type: ignore[method-assign]
 
 
 def declared_dead(host: Host, peer: str) -> bool:
@@ -417,13 +424,13 @@
 
 
 @pytest.mark.parametrize(("number", "fan_out"), [(3, 16), (12, 4)])
-def test_an_upstreams_leaving_is_known_everywhere(
+def test_an_upstream_leaving_is_known_on_every_host(
     number: int, fan_out: int
 ) -> None:
     async def scenario(cluster: Cluster) -> None:
         hosts = await cluster.grow(number)
         hosts[0].upstreams.mark("e1", "leaving", "refusal")
-        hosts[1].peers.note_upstream("e2", "dead")
+        hosts[1].peers.report_upstream("e2", "dead")
         started_s = asyncio.get_running_loop().time()
         await until(
             lambda: all(
@@ -432,17 +439,17 @@
                 for host in hosts
             )
         )
-        taken_s = asyncio.get_running_loop().time() - started_s
-        assert taken_s < 2
+        elapsed_s = asyncio.get_running_loop().time() - started_s
+        assert elapsed_s < 2
         for host in hosts[2:]:
             seen = host.timeline.events(kind="upstream_state")
             marked = {event.detail["upstream"] for event in seen}
             assert "e1" in marked
 
-    run(scenario, fan_out, SLOW_LIST_MS, pace_of(number))
+    run(scenario, fan_out, SLOW_LIST_MS, interval_factor_for(number))
 
 
-def test_many_hosts_know_exact_counts_and_share_the_reading() -> None:
+def test_many_hosts_get_exact_counts_and_share_list_reading() -> None:
     async def scenario(cluster: Cluster) -> None:
         hosts = await cluster.grow(6)
         for n, host in enumerate(hosts):
@@ -452,7 +459,7 @@
             for host in hosts:
                 await host.peers.refresh_counts()
             known = [host.peers.in_flight("e1") for host in hosts]
-        # One reads the list for all; a second one after it has left.
+        # One host reads the list for all; another one after it has left.
         await until(lambda: sum(map(reads_for_others, hosts)) == 1)
         reader = next(host for host in hosts if reads_for_others(host))
         reader.peers.announce_leaving()
@@ -462,7 +469,7 @@
             )
         )
 
-    run(scenario, fan_out=4, pace=2, list_readers=1)
+    run(scenario, fan_out=4, interval_factor=2, list_readers=1)
 
 
 def reads_for_others(host: Host) -> bool:
@@ -482,11 +489,12 @@
         others = [h for name, h in cluster.hosts.items() if name != "h03"]
         await until(lambda: all(h.peer("h03").leaving for h in others))
 
-    # Hosts must all be live at one moment, and none is timed: slower still.
-    run(scenario, fan_out=4, pace=2 * pace_of(12))
+    # All hosts must be live at the same moment and nothing is timed, so the
+    # heartbeats are slower still.
+    run(scenario, fan_out=4, interval_factor=2 * interval_factor_for(12))
 
 
-def test_a_peer_wrongly_called_dead_tells_all_again(
+def test_a_peer_wrongly_declared_dead_sends_its_full_state(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(composer, "FULL_COUNTS_EVERY", 10**9)
@@ -495,7 +503,7 @@
         first, second, third = await cluster.grow(3)
         second.peers.set_in_flight("e1", 4)
         await until(lambda: first.peers.in_flight("e1") == 4)
-        first.peers._silent("h01")
+        first.peers._handle_silence("h01")
         assert first.live() == ["h02"]
         assert first.peers.in_flight("e1") == 0
         await until(lambda: first.peers.in_flight("e1") == 4)
@@ -505,7 +513,7 @@
     run(scenario)
 
 
-def test_void_messages_disturb_nothing() -> None:
+def test_invalid_messages_are_counted_and_ignored() -> None:
     async def scenario(cluster: Cluster) -> None:
         first, second = await cluster.grow(2)
         with second.peers._links.find("h00")._socket as socket:
@@ -521,7 +529,7 @@
 
 
 @pytest.mark.parametrize("address", ["nonsense", "127.0.0.1", "1.2.3.4:x"])
-def test_a_bad_address_on_the_list_disturbs_nothing(address: str) -> None:
+def test_an_invalid_address_on_the_list_is_ignored(address: str) -> None:
     async def scenario(cluster: Cluster) -> None:
         first = await cluster.add("h00")
         cluster.listed["bad"] = {
@@ -549,7 +557,7 @@
 
 
 @pytest.mark.parametrize("fields", [[], ["h"] * 8, None, {"host": "h"}])
-def test_void_messages_are_told(fields: object) -> None:
+def test_invalid_messages_are_rejected(fields: object) -> None:
     with pytest.raises(PeerMessageError):
         decode_message(msgspec.msgpack.encode(fields))
 
@@ -563,7 +571,7 @@
         seq=10**6,
         previous_seq=10**6 - 16,
         acked_seq=10**6,
-        missed=False,
+        needs_full_state=False,
         stamp="1790000000000.0",
         offset=10**6,
         caught_up=True,
@@ -574,10 +582,13 @@
     assert len(data) < 100
 
 
-def test_an_idle_host_builds_no_view_of_the_others(
+def test_an_idle_host_builds_no_view_of_other_hosts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One takes 27 us: four a second of 195 others took 2% of a core."""
+    """Guards against views built with each heartbeat.
+
+    One view takes 27 us: four a second of 195 others took 2% of a core.
+    """
     described = 0
 
     def count(member: Member, heard: Heard | None) -> Peer:
@@ -591,4 +602,4 @@
         await asyncio.sleep(1.0)
         assert described == 0
 
-    run(scenario, fan_out=4, pace=2)
+    run(scenario, fan_out=4, interval_factor=2)
--- a/tests/test_peers_gathering.py
+++ b/tests/test_peers_gathering.py
@@ -1,4 +1,4 @@
-"""Counts of many hosts, gathered at one of them."""
+"""Counts of many hosts, aggregated at one of them."""
 
 import asyncio
 import gc
@@ -19,7 +19,7 @@
     Record,
     Sources,
 )
-from balsamlift.peers._gatherer import KEEP_S, Gatherer
+from balsamlift.peers._gatherer import HOST_TIMEOUT_S, Gatherer
 from balsamlift.peers._gathering import (
     ANSWER_MS,
     FRESH_S,
@@ -34,20 +34,20 @@
 HOSTS = [f"h{n:02}" for n in range(20)]
 
 
-class HandClock(SystemClock):
-    """A clock that a test moves on by hand."""
+class ManualClock(SystemClock):
+    """A clock that a test advances explicitly."""
 
-    ahead_s = 0.0
+    offset_s = 0.0
 
     def monotonic(self) -> float:
-        return super().monotonic() + self.ahead_s
+        return super().monotonic() + self.offset_s
 
 
 class Cluster:
-    """Some hosts that tell the first of them in rank."""
+    """Some hosts that send their counts to the first of them in rank."""
 
     def __init__(self, number: int) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.counts: dict[str, dict[str, int]] = {
             host: {} for host in HOSTS[:number]
         }
@@ -62,7 +62,7 @@
         for host in self.by_host:
             self.by_host[host].start(self.others(host), Metrics())
 
-    def total_without(self, own: str) -> int:
+    def sum_without(self, own: str) -> int:
         return sum(
             counts.get("e1", 0)
             for host, counts in self.counts.items()
@@ -81,7 +81,7 @@
             await gathering.stop()
 
     async def sums(self, host: str) -> int:
-        """Return what that host knows of the others, asked anew."""
+        """Return the sum over the others at that host after a refresh."""
         await self.by_host[host].refresh()
         return self.by_host[host].others("e1")
 
@@ -99,19 +99,19 @@
     asyncio.run(main())
 
 
-def count_all(cluster: Cluster) -> None:
-    """Let each host have something else in flight."""
+def set_distinct_counts(cluster: Cluster) -> None:
+    """Give each host a different in-flight count."""
     for n, counts in enumerate(cluster.counts.values()):
         counts["e1"] = 10**n
 
 
 async def until_exact(cluster: Cluster) -> None:
-    """Wait until each host knows what all others have.
+    """Wait until each host has the exact sum over all others.
 
-    On a crowded machine an answer may come too late, and that host tells
-    another one for a while.
+    On a busy machine an answer may come too late, and that host then sends
+    its counts to another one for a while.
     """
-    expected = {host: cluster.total_without(host) for host in cluster.by_host}
+    expected = {host: cluster.sum_without(host) for host in cluster.by_host}
     known: dict[str, int] = {}
     while known != expected:
         known = {host: await cluster.sums(host) for host in cluster.by_host}
@@ -119,7 +119,7 @@
 
 def test_every_host_knows_the_exact_sum_of_the_others() -> None:
     async def test(cluster: Cluster) -> None:
-        count_all(cluster)
+        set_distinct_counts(cluster)
         await until_exact(cluster)
         assert cluster.by_host["h01"].others("e1") == 11_111 - 10
         cluster.counts["h00"].clear()
@@ -129,13 +129,13 @@
     run(test)
 
 
-def test_another_takes_over_from_a_host_that_is_gone() -> None:
+def test_another_host_aggregates_after_the_first_has_stopped() -> None:
     async def test(cluster: Cluster) -> None:
-        count_all(cluster)
+        set_distinct_counts(cluster)
         await until_exact(cluster)
         first = rank_hosts(cluster.by_host)[0]
         await cluster.by_host[first].stop()
-        # Membership still says that it lives.
+        # Membership still reports it as live.
         cluster.still_listed = [cluster.by_host.pop(first)]
         cluster.counts[first].clear()
         await until_exact(cluster)
@@ -143,33 +143,33 @@
     run(test)
 
 
-def test_a_refresh_is_short_where_nobody_answers() -> None:
+def test_a_refresh_without_answers_is_short() -> None:
     async def test(cluster: Cluster) -> None:
         host = rank_hosts(cluster.by_host)[-1]
         for other, gathering in cluster.by_host.items():
             if other != host:
                 await gathering.stop()
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
+        started_s = loop.time()
         await cluster.by_host[host].refresh()
-        assert loop.time() - began_s < 50 * ANSWER_MS / 1_000
+        assert loop.time() - started_s < 50 * ANSWER_MS / 1_000
         assert not cluster.by_host[host].is_fresh
 
     run(test)
 
 
-def test_sums_grow_old() -> None:
+def test_sums_expire() -> None:
     async def test(cluster: Cluster) -> None:
-        count_all(cluster)
+        set_distinct_counts(cluster)
         await until_exact(cluster)
         assert cluster.by_host["h00"].is_fresh
-        cluster.clock.ahead_s = FRESH_S + 0.1
+        cluster.clock.offset_s = FRESH_S + 0.1
         assert not cluster.by_host["h00"].is_fresh
 
     run(test)
 
 
-def test_few_hosts_gather_nothing() -> None:
+def test_few_hosts_aggregate_nothing() -> None:
     async def test(cluster: Cluster) -> None:
         gathering = cluster.by_host["h00"]
         await gathering.refresh()
@@ -178,11 +178,11 @@
     run(test, number=1)
 
 
-class Told:
-    """A gatherer that is told by hand."""
+class DirectUpdates:
+    """A gatherer to which a test sends updates directly."""
 
     def __init__(self) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         own = CountsUpdate("h00", "i", 0, {}, False)
         self.gatherer = Gatherer(
             "127.0.0.1:0", self.clock, lambda: own, SharedRecords(self.clock)
@@ -195,24 +195,24 @@
 
 
 def test_an_older_update_changes_nothing() -> None:
-    told = Told()
-    told.take("h01", seq=5, n=7)
-    told.take("h01", seq=4, n=9)
-    assert told.take("h02", seq=1, n=0) == 7
-    told.take("h01", seq=1, n=3, incarnation="next")
-    assert told.take("h02", seq=2, n=0) == 3
+    updates = DirectUpdates()
+    updates.take("h01", seq=5, n=7)
+    updates.take("h01", seq=4, n=9)
+    assert updates.take("h02", seq=1, n=0) == 7
+    updates.take("h01", seq=1, n=3, incarnation="next")
+    assert updates.take("h02", seq=2, n=0) == 3
 
 
 def test_counts_of_a_silent_host_are_dropped() -> None:
-    told = Told()
-    told.take("h01", seq=1, n=7)
-    told.clock.ahead_s = KEEP_S + 0.1
-    assert told.take("h02", seq=1, n=2) == 0
-    assert told.take("h01", seq=2, n=7) == 2
+    updates = DirectUpdates()
+    updates.take("h01", seq=1, n=7)
+    updates.clock.offset_s = HOST_TIMEOUT_S + 0.1
+    assert updates.take("h02", seq=1, n=2) == 0
+    assert updates.take("h01", seq=2, n=7) == 2
 
 
 class FailingContext:
-    """A connection on which an answer cannot be sent, and then closes."""
+    """A context on which no answer can be sent, closed after its messages."""
 
     def __init__(self, messages: list[bytes]) -> None:
         self.messages = messages
@@ -226,23 +226,23 @@
         raise pynng.ConnectionReset("reset", 19)
 
 
-def test_an_answer_that_cannot_be_sent_leaves_it_answering() -> None:
+def test_answering_continues_after_an_answer_could_not_be_sent() -> None:
     async def test(cluster: Cluster) -> None:
-        told = Told()
+        updates = DirectUpdates()
         update = CountsUpdate("h01", "i", 1, {"e1": 7}, True)
         context = FailingContext([encode_counts(update), b"void", b"void"])
-        await told.gatherer._keep_answering(context)  # type: ignore[arg-type]
+        await updates.gatherer._serve(context)  # type: ignore[arg-type]
         assert context.messages == []
-        assert told.take("h02", seq=1, n=0) == 7
+        assert updates.take("h02", seq=1, n=0) == 7
 
     run(test, number=1)
 
 
 def test_sums_are_sent_only_where_wanted() -> None:
-    told = Told()
-    told.take("h01", seq=1, n=7)
+    updates = DirectUpdates()
+    updates.take("h01", seq=1, n=7)
     update = CountsUpdate("h02", "i", 1, {}, False)
-    assert told.gatherer.take(update).counts == {}
+    assert updates.gatherer.take(update).counts == {}
 
 
 @pytest.mark.parametrize("most", [1, 9, 30])
@@ -255,7 +255,7 @@
 
 
 class Topic:
-    """A topic that a store serves to some hosts only."""
+    """A topic that a store serves to some hosts and refuses to others."""
 
     def __init__(self, is_served: bool) -> None:
         self.is_served = is_served
@@ -271,18 +271,18 @@
 
 
 class Unchanged:
-    """A configuration that all hosts have."""
+    """A configuration that is the same on all hosts."""
 
     offset = 1
     encoded = b"routes"
 
 
-def share_records(gathering: Gathering, clock: HandClock) -> Follower:
-    """Let a host answer from a topic, which the first in rank cannot read."""
+def share_records(gathering: Gathering, clock: ManualClock) -> Follower:
+    """Connect a host to a topic that the first in rank cannot read."""
     is_first = gathering.host == rank_hosts(HOSTS[:5])[0]
     pace = Pace(wait_ms=100, most_age_s=30.0)
     follower = Follower(Topic(not is_first), "t", clock, pace)
-    follower.confirm(clock.monotonic())  # none has to read for a while
+    follower.confirm(clock.monotonic())  # fresh: no host has to read yet
     records = gathering._records
     follower.share(lambda: records.is_asked)
     records.connect(
@@ -305,8 +305,8 @@
         await asyncio.sleep(0.05)
 
 
-def test_hosts_ask_another_where_the_store_turns_the_first_away() -> None:
-    """That one then reads, and nobody else has to."""
+def test_hosts_ask_another_if_the_store_refuses_the_first() -> None:
+    """The host that is asked reads the topic; no other host has to."""
 
     async def test(cluster: Cluster) -> None:
         followers = {
@@ -325,15 +325,18 @@
     run(test)
 
 
-def test_one_that_stops_as_it_starts_ends_its_tasks_without_an_error() -> None:
-    """Errors that nobody takes up come out when their task is collected."""
+def test_stopping_soon_after_the_start_leaves_no_task_error() -> None:
+    """Guards against task exceptions that are never retrieved.
+
+    They are reported only when the task is garbage collected.
+    """
     errors: list[dict[str, object]] = []
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: errors.append(context))
         for pause_s in (None, 0.0, 0.01):
-            gatherer = Told().gatherer
+            gatherer = DirectUpdates().gatherer
             gatherer.start()
             if pause_s is not None:
                 await asyncio.sleep(pause_s)
--- a/tests/test_peers_messages.py
+++ b/tests/test_peers_messages.py
@@ -1,4 +1,4 @@
-"""Messages between hosts: what comes is read whole or not at all."""
+"""Encoding of messages between hosts: each decodes as a whole or fails."""
 
 from contextlib import suppress
 from typing import Any
@@ -32,7 +32,7 @@
     seq=7,
     previous_seq=6,
     acked_seq=3,
-    missed=False,
+    needs_full_state=False,
     stamp="1-h1",
     offset=4,
     caught_up=True,
@@ -52,19 +52,19 @@
 ]
 
 
-def test_what_is_sent_is_what_comes() -> None:
+def test_messages_round_trip() -> None:
     assert decode_message(encode_message(HEARTBEAT)) == HEARTBEAT
     assert decode_sums(encode_counts(SUMS)) == SUMS
     assert decode_update(encode_counts(UPDATE)) == UPDATE
 
 
-def test_fields_that_a_newer_version_adds_are_passed_over() -> None:
+def test_fields_added_by_a_newer_version_are_ignored() -> None:
     fields = msgspec.msgpack.decode(encode_message(HEARTBEAT))
     data = msgspec.msgpack.encode([*fields, "new", 1])
     assert decode_message(data) == HEARTBEAT
 
 
-def test_fields_that_an_older_version_lacks_have_their_defaults() -> None:
+def test_fields_missing_from_an_older_version_get_defaults() -> None:
     fields = msgspec.msgpack.decode(encode_message(HEARTBEAT))
     message = decode_message(msgspec.msgpack.encode(fields[:-1]))
     assert message.evacuations is None
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    ("place", "value"),
+    ("index", "value"),
     [
         (0, 1),
         (2, "7"),
@@ -83,29 +83,29 @@
         (14, {}),
     ],
 )
-def test_a_field_of_another_type_voids_the_message(
-    place: int, value: Any
-) -> None:
+def test_a_field_of_a_wrong_type_is_rejected(index: int, value: Any) -> None:
     fields = msgspec.msgpack.decode(encode_message(HEARTBEAT))
-    fields[place] = value
+    fields[index] = value
     with pytest.raises(PeerMessageError):
         decode_message(msgspec.msgpack.encode(fields))
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_message_or_an_error_of_ours(data: bytes) -> None:
+def test_arbitrary_bytes_decode_or_raise_peer_message_error(
+    data: bytes,
+) -> None:
     for _, decode in MESSAGES:
         with suppress(PeerMessageError):
             decode(data)
 
 
 @given(st.data())
-def test_a_damaged_message_is_a_message_or_an_error_of_ours(
+def test_a_corrupted_message_decodes_or_raises_peer_message_error(
     data: st.DataObject,
 ) -> None:
-    whole, decode = data.draw(st.sampled_from(MESSAGES))
-    at = data.draw(st.integers(0, len(whole) - 1))
-    cut = data.draw(st.integers(0, 3))
-    put = data.draw(st.binary(max_size=4))
+    encoded, decode = data.draw(st.sampled_from(MESSAGES))
+    start = data.draw(st.integers(0, len(encoded) - 1))
+    removed = data.draw(st.integers(0, 3))
+    inserted = data.draw(st.binary(max_size=4))
     with suppress(PeerMessageError):
-        decode(whole[:at] + put + whole[at + cut :])
+        decode(encoded[:start] + inserted + encoded[start + removed :])
