--- a/src/balsamlift/peers/_composer.py
+++ b/src/balsamlift/peers/_composer.py
@@ -11,11 +11,11 @@
 from balsamlift.peers._counts import OwnCounts
 from balsamlift.peers._crash_reports import CrashReports
 from balsamlift.peers._evacuations import EvacuationNews
-from balsamlift.peers._heard import PeerStatuses
 from balsamlift.peers._link import Draft, Link, SentChanges
 from balsamlift.peers._members import Members
 from balsamlift.peers._messages import Member, PeerMessage, Shared
 from balsamlift.peers._notes import Notes
+from balsamlift.peers._peer_statuses import PeerStatuses
 
 RECENT_MEMBERS = 32  # changes sent on a new link; the peer requests the rest
 SAMPLE_EVERY = 8  # messages per random entry, sent in case the peer missed it
--- a/src/balsamlift/peers/_membership.py
+++ b/src/balsamlift/peers/_membership.py
@@ -18,7 +18,6 @@
 from balsamlift.peers._composer import Composer, OwnStatus
 from balsamlift.peers._configuration import ConfigurationFinder
 from balsamlift.peers._crash_reports import CrashReports
-from balsamlift.peers._heard import PeerStatuses
 from balsamlift.peers._hosts_view import HostsHandler
 from balsamlift.peers._link import Draft, Link
 from balsamlift.peers._links import Links
@@ -29,6 +28,7 @@
 from balsamlift.peers._messages import Member
 from balsamlift.peers._notes import Notes
 from balsamlift.peers._peer import Peer, describe
+from balsamlift.peers._peer_statuses import PeerStatuses
 from balsamlift.peers._readers import Place, find_place, is_reader
 from balsamlift.peers._receiver import Receiver
 from balsamlift.peers._shared_records import SharedRecords
--- a/src/balsamlift/peers/_peer.py
+++ b/src/balsamlift/peers/_peer.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from balsamlift.peers._heard import Heard
 from balsamlift.peers._messages import Member
+from balsamlift.peers._peer_statuses import PeerStatus
 
 
 @attrs.frozen(kw_only=True)
@@ -25,7 +25,7 @@
     last_heard_s: float | None = None  # monotonic; None: never heard directly
 
 
-def describe(member: Member, status: Heard | None) -> Peer:
+def describe(member: Member, status: PeerStatus | None) -> Peer:
     """Return the view of a membership entry and the peer's last status."""
     return Peer(
         host=member.host,
--- a/src/balsamlift/peers/_heard.py
+++ b/src/balsamlift/peers/_peer_statuses.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define
-class Heard:
+class PeerStatus:
     """Hold what one incarnation of a peer last reported directly."""
 
     incarnation: str
@@ -43,13 +43,15 @@
         """Start empty; a status is recent for `silence_s`."""
         self._clock = clock
         self._silence_s = silence_s
-        self._statuses: dict[str, Heard] = {}
+        self._statuses: dict[str, PeerStatus] = {}
 
-    def find(self, host: str) -> Heard | None:
+    def find(self, host: str) -> PeerStatus | None:
         """Return the last status of a peer."""
         return self._statuses.get(host)
 
-    def find_incarnation(self, host: str, incarnation: str) -> Heard | None:
+    def find_incarnation(
+        self, host: str, incarnation: str
+    ) -> PeerStatus | None:
         """Return the last status of a peer if of that incarnation."""
         status = self._statuses.get(host)
         if status is None or status.incarnation != incarnation:
@@ -78,7 +80,7 @@
         """Update a peer's status; return false for an outdated message."""
         status = self.find_incarnation(message.host, message.incarnation)
         if status is None:
-            status = Heard(message.incarnation)
+            status = PeerStatus(message.incarnation)
             self._statuses[message.host] = status
         elif message.seq <= status.seq:
             return False
@@ -95,5 +97,5 @@
         """Drop the status of a peer."""
         self._statuses.pop(host, None)
 
-    def _is_recent(self, status: Heard) -> bool:
+    def _is_recent(self, status: PeerStatus) -> bool:
         return self._clock.monotonic() - status.received_s <= self._silence_s
--- a/src/balsamlift/peers/_receiver.py
+++ b/src/balsamlift/peers/_receiver.py
@@ -7,11 +7,11 @@
 import attrs
 
 from balsamlift.peers._crash_reports import CrashReports
-from balsamlift.peers._heard import PeerStatuses
 from balsamlift.peers._links import Links
 from balsamlift.peers._load import Load
 from balsamlift.peers._members import Members
 from balsamlift.peers._messages import Member, PeerMessage
+from balsamlift.peers._peer_statuses import PeerStatuses
 from balsamlift.peers._sharing import Sharing
 from balsamlift.peers._upstream_gossip import UpstreamGossip
 from balsamlift.peers._upstreams import Upstreams
--- a/src/balsamlift/peers/_sharing.py
+++ b/src/balsamlift/peers/_sharing.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from balsamlift.clock import Clock
-from balsamlift.peers._heard import Heard
 from balsamlift.peers._messages import Shared
+from balsamlift.peers._peer_statuses import PeerStatus
 from balsamlift.peers._shared_records import is_too_large
 from balsamlift.peers._upstreams import Upstreams
 
@@ -39,7 +39,7 @@
     def compose(
         self,
         host: str,
-        heard: Heard | None,
+        heard: PeerStatus | None,
         offset: int,
         upstreams: Upstreams,
     ) -> Shared | None:
@@ -64,7 +64,7 @@
             self._take(shared.configuration)
         upstreams.take_from_peer(shared.listed)
 
-    def _due(self, host: str, heard: Heard | None, offset: int) -> bytes:
+    def _due(self, host: str, heard: PeerStatus | None, offset: int) -> bytes:
         """Return the configuration if that peer is to be told, else none."""
         if heard is None or heard.offset >= offset:
             self._behind_s.pop(host, None)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -19,9 +19,9 @@
 from balsamlift.metrics import Metrics
 from balsamlift.operators import JsonHandler, OperatorsServer
 from balsamlift.peers import Peer, Peers, Upstreams
-from balsamlift.peers._heard import Heard
 from balsamlift.peers._messages import Member, PeerMessage, decode_message
 from balsamlift.peers._peer import describe
+from balsamlift.peers._peer_statuses import PeerStatus
 from balsamlift.settings import (
     PeerSettings,
     PlatformSettings,
@@ -591,7 +591,7 @@
     """
     described = 0
 
-    def count(member: Member, heard: Heard | None) -> Peer:
+    def count(member: Member, heard: PeerStatus | None) -> Peer:
         nonlocal described
         described += 1
         return describe(member, heard)
