--- a/src/balsamlift/peers/_composer.py
+++ b/src/balsamlift/peers/_composer.py
@@ -14,8 +14,8 @@
 from balsamlift.peers._link import Draft, Link, SentChanges
 from balsamlift.peers._members import Members
 from balsamlift.peers._messages import Member, PeerMessage, Shared
-from balsamlift.peers._notes import Notes
 from balsamlift.peers._peer_statuses import PeerStatuses
+from balsamlift.peers._upstream_reports import UpstreamReports
 
 RECENT_MEMBERS = 32  # changes sent on a new link; the peer requests the rest
 SAMPLE_EVERY = 8  # messages per random entry, sent in case the peer missed it
@@ -42,7 +42,7 @@
         self,
         members: Members,
         counts: OwnCounts,
-        notes: Notes,
+        upstream_reports: UpstreamReports,
         crash_reports: CrashReports,
         peer_statuses: PeerStatuses,
         clock: Clock,
@@ -51,7 +51,7 @@
         """Read from these tables, which other objects update."""
         self._members = members
         self._counts = counts
-        self._notes = notes
+        self._upstream_reports = upstream_reports
         self._crash_reports = crash_reports
         self._peer_statuses = peer_statuses
         self._clock = clock
@@ -81,7 +81,9 @@
             members=self._members_for(link),
             counts=self._counts_for(link, sends_full_counts),
             counts_are_full=sends_full_counts,
-            notes=self._notes.changed_since(link.sent_changes.notes, now_s),
+            upstream_reports=self._upstream_reports.changed_since(
+                link.sent_changes.upstream_reports, now_s
+            ),
             shared=status.shared,
             evacuations=status.evacuations,
             crash_reports=self._crash_reports.changed_since(
@@ -91,7 +93,7 @@
         sent_changes = SentChanges(
             self._members.change,
             self._counts.change,
-            self._notes.change,
+            self._upstream_reports.change,
             self._crash_reports.change,
         )
         return Draft(message, sent_changes)
--- a/src/balsamlift/peers/_link.py
+++ b/src/balsamlift/peers/_link.py
@@ -31,7 +31,7 @@
 
     members: int | None = None
     counts: int | None = None
-    notes: int = 0
+    upstream_reports: int = 0
     crash_reports: int = 0
 
     @property
--- a/src/balsamlift/peers/_membership.py
+++ b/src/balsamlift/peers/_membership.py
@@ -26,7 +26,6 @@
 from balsamlift.peers._marks import UpstreamState
 from balsamlift.peers._members import Members
 from balsamlift.peers._messages import Member
-from balsamlift.peers._notes import Notes
 from balsamlift.peers._peer import Peer, describe
 from balsamlift.peers._peer_statuses import PeerStatuses
 from balsamlift.peers._readers import Place, find_place, is_reader
@@ -34,6 +33,7 @@
 from balsamlift.peers._shared_records import SharedRecords
 from balsamlift.peers._sharing import Sharing
 from balsamlift.peers._upstream_gossip import UpstreamGossip
+from balsamlift.peers._upstream_reports import UpstreamReports
 from balsamlift.peers._upstreams import Upstreams
 from balsamlift.settings import Settings
 from balsamlift.timeline import Timeline
@@ -95,15 +95,15 @@
             )
         )
         self._dead_since_s: dict[str, float] = {}
-        self._notes = Notes()
+        self._upstream_reports = UpstreamReports()
         self.crash_reports = CrashReports(clock)
-        self._upstream_gossip = UpstreamGossip(self._notes, clock)
+        self._upstream_gossip = UpstreamGossip(self._upstream_reports, clock)
         silence_s = settings.peers.silence_ms / 1_000
         self._peer_statuses = PeerStatuses(clock, silence_s)
         self._composer = Composer(
             self._members,
             self._load.own,
-            self._notes,
+            self._upstream_reports,
             self.crash_reports,
             self._peer_statuses,
             clock,
@@ -422,7 +422,7 @@
     def _drop_expired(self) -> None:
         """Drop expired reports, sent zero counts and hosts long dead."""
         now_s = self._clock.monotonic()
-        self._notes.expire(now_s)
+        self._upstream_reports.expire(now_s)
         sent_change = self._links.sent_counts_change(
             default=self._load.own.change
         )
--- a/src/balsamlift/peers/_messages.py
+++ b/src/balsamlift/peers/_messages.py
@@ -48,7 +48,7 @@
         return self.epoch, self.version, STATES.index(self.state)
 
 
-class UpstreamNote(msgspec.Struct, frozen=True, array_like=True):
+class UpstreamReport(msgspec.Struct, frozen=True, array_like=True):
     """Report the state of one incarnation of an upstream until it expires."""
 
     name: str
@@ -96,7 +96,9 @@
     members: list[Member] = msgspec.field(default_factory=list)
     counts: dict[str, int] = msgspec.field(default_factory=dict)
     counts_are_full: bool = False
-    notes: list[UpstreamNote] = msgspec.field(default_factory=list)
+    upstream_reports: list[UpstreamReport] = msgspec.field(
+        default_factory=list
+    )
     shared: Shared | None = None  # left out of nearly all messages
     evacuations: EvacuationNews | None = None  # None: not known yet
     crash_reports: list[CrashReport] = msgspec.field(default_factory=list)
--- a/src/balsamlift/peers/_receiver.py
+++ b/src/balsamlift/peers/_receiver.py
@@ -46,7 +46,7 @@
         self._load.heard.take(
             message.host, message.counts, full=message.counts_are_full
         )
-        self._upstream_gossip.receive(message.notes)
+        self._upstream_gossip.receive(message.upstream_reports)
         self._crash_reports.add(message.crash_reports)
         # Evacuations come before the configuration: a host that has just
         # started must not serve with the configuration alone.
--- a/src/balsamlift/peers/_upstream_gossip.py
+++ b/src/balsamlift/peers/_upstream_gossip.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable
 
 from balsamlift.clock import Clock
-from balsamlift.peers._messages import UpstreamNote
-from balsamlift.peers._notes import Notes, create_report
+from balsamlift.peers._messages import UpstreamReport
 from balsamlift.peers._upstream import Upstream
+from balsamlift.peers._upstream_reports import UpstreamReports, create_report
 from balsamlift.peers._upstreams import PEER_SOURCE, Upstreams
 
 
 class UpstreamGossip:
     """Send marks on upstreams to peers, and apply those of the peers."""
 
-    def __init__(self, reports: Notes, clock: Clock) -> None:
+    def __init__(self, reports: UpstreamReports, clock: Clock) -> None:
         """Keep the exchanged reports in `reports`."""
         self._reports = reports
         self._clock = clock
@@ -32,7 +32,7 @@
         if self._reports.add(create_report(upstream), now_s, is_own=True):
             self._wake()
 
-    def receive(self, reports: list[UpstreamNote]) -> None:
+    def receive(self, reports: list[UpstreamReport]) -> None:
         """Apply the reports of a peer and forward the new ones."""
         now_s = self._clock.monotonic()
         new = [
--- a/src/balsamlift/peers/_notes.py
+++ b/src/balsamlift/peers/_upstream_reports.py
@@ -7,10 +7,10 @@
 import attrs
 import msgspec
 
-from balsamlift.peers._messages import UpstreamNote
+from balsamlift.peers._messages import UpstreamReport
 from balsamlift.peers._upstream import Upstream
 
-NOTE_TTL_MS = 30_000  # longer than the platform's list lags
+UPSTREAM_REPORT_TTL_MS = 30_000  # longer than the platform's list lags
 # A copy that expires this much later is a new report. States on the list are
 # reported after each read, which must not create a new report each time.
 RENEWAL_S = {"dead": 5.0, "leaving": 15.0}
@@ -20,25 +20,25 @@
 _ReportKey = tuple[str, str, str]
 
 
-def create_report(upstream: Upstream) -> UpstreamNote:
+def create_report(upstream: Upstream) -> UpstreamReport:
     """Return a report of the present state of an upstream."""
-    return UpstreamNote(
+    return UpstreamReport(
         name=upstream.name,
         address=upstream.address,
         state=upstream.state,
-        ttl_ms=NOTE_TTL_MS,
+        ttl_ms=UPSTREAM_REPORT_TTL_MS,
     )
 
 
 @attrs.define
 class _Entry:
-    report: UpstreamNote
+    report: UpstreamReport
     expires_s: float
     change: int
     is_applied: bool = False
 
 
-class Notes:
+class UpstreamReports:
     """Hold the unexpired reports in the order in which they arrived.
 
     A report is forwarded with its remaining TTL, so it expires at about the
@@ -51,13 +51,15 @@
         self._entries: dict[_ReportKey, _Entry] = {}  # oldest first
 
     def add(
-        self, report: UpstreamNote, now_s: float, *, is_own: bool = False
+        self, report: UpstreamReport, now_s: float, *, is_own: bool = False
     ) -> bool:
         """Add a report and return whether it was new."""
         if report.state not in RENEWAL_S:
             return False
         key = report.name, report.address, report.state
-        expires_s = now_s + min(report.ttl_ms, NOTE_TTL_MS) / _MS_PER_S
+        expires_s = (
+            now_s + min(report.ttl_ms, UPSTREAM_REPORT_TTL_MS) / _MS_PER_S
+        )
         known = self._entries.get(key)
         if expires_s <= now_s or (
             known is not None
@@ -73,7 +75,7 @@
 
     def to_apply(
         self, find_address: Callable[[str], str]
-    ) -> list[UpstreamNote]:
+    ) -> list[UpstreamReport]:
         """Return, once each, the peers' reports on known incarnations.
 
         `find_address` returns the address of an upstream; "": unknown.
@@ -89,7 +91,7 @@
                 found.append(report)
         return found
 
-    def changed_since(self, change: int, now_s: float) -> list[UpstreamNote]:
+    def changed_since(self, change: int, now_s: float) -> list[UpstreamReport]:
         """Return the reports after that change, with their remaining TTL."""
         found = []
         for entry in reversed(self._entries.values()):
--- a/tests/test_peers_messages.py
+++ b/tests/test_peers_messages.py
@@ -17,7 +17,7 @@
     Member,
     PeerMessage,
     Shared,
-    UpstreamNote,
+    UpstreamReport,
     decode_message,
     decode_sums,
     decode_update,
@@ -39,7 +39,7 @@
     chosen=False,
     members=[Member("h2", "i2", 1, 2, "leaving", "o", "c", "p", "north")],
     counts={"e1": 3_000},
-    notes=[UpstreamNote("e1", "10.0.0.1:80", "dead", 500)],
+    upstream_reports=[UpstreamReport("e1", "10.0.0.1:80", "dead", 500)],
     shared=Shared(True, b"routes", [ListEntry("e2", "upstream")]),
 )
 NEWS = TopicNews(9, 20, True, [Record("k", None, 8), Record("l", b"v", 7)])
--- a/tests/test_peers_tables.py
+++ b/tests/test_peers_tables.py
@@ -8,8 +8,11 @@
 
 from balsamlift.peers._counts import OwnCounts, PeerCounts
 from balsamlift.peers._members import MAX_INCARNATIONS, Members
-from balsamlift.peers._messages import Member, UpstreamNote
-from balsamlift.peers._notes import NOTE_TTL_MS, Notes
+from balsamlift.peers._messages import Member, UpstreamReport
+from balsamlift.peers._upstream_reports import (
+    UPSTREAM_REPORT_TTL_MS,
+    UpstreamReports,
+)
 
 HOSTS = 4
 
@@ -132,17 +135,19 @@
     assert peers.total("e1") == 3
 
 
-def note(ttl_ms: int = NOTE_TTL_MS, address: str = "a:1") -> UpstreamNote:
-    return UpstreamNote(
+def note(
+    ttl_ms: int = UPSTREAM_REPORT_TTL_MS, address: str = "a:1"
+) -> UpstreamReport:
+    return UpstreamReport(
         name="e1", address=address, state="leaving", ttl_ms=ttl_ms
     )
 
 
 def test_notes_do_not_circulate_for_ever() -> None:
-    tables = [Notes() for _ in range(3)]
+    tables = [UpstreamReports() for _ in range(3)]
     tables[0].add(note(), now_s=0.0)
     now_s, passed = 0.0, 0
-    while now_s < 3 * NOTE_TTL_MS / 1_000:
+    while now_s < 3 * UPSTREAM_REPORT_TTL_MS / 1_000:
         for sender in tables:
             for receiver in tables:
                 for news in sender.changed_since(0, now_s):
@@ -155,24 +160,24 @@
 
 
 def test_a_note_is_for_one_incarnation_and_applied_once() -> None:
-    notes = Notes()
+    notes = UpstreamReports()
     notes.add(note(address="a:1"), now_s=0.0)
     assert notes.to_apply({"e1": "a:2"}.__getitem__) == []
     assert notes.to_apply({"e1": "a:1"}.__getitem__) == [note()]
     assert notes.to_apply({"e1": "a:1"}.__getitem__) == []
-    assert not notes.add(note(ttl_ms=NOTE_TTL_MS - 10), now_s=1.0)
+    assert not notes.add(note(ttl_ms=UPSTREAM_REPORT_TTL_MS - 10), now_s=1.0)
     assert notes.add(note(), now_s=20.0)
 
 
 def test_live_is_no_note() -> None:
-    notes = Notes()
+    notes = UpstreamReports()
     assert not notes.add(
         msgspec.structs.replace(note(), state="live"), now_s=0.0
     )
 
 
 def test_telling_a_note_each_second_renews_it_now_and_then() -> None:
-    notes = Notes()
+    notes = UpstreamReports()
     news = sum(notes.add(note(), float(now_s)) for now_s in range(60))
     assert news == 4
     assert notes.changed_since(0, 60.0)
