--- a/src/balsamlift/peers/_gathering.py
+++ b/src/balsamlift/peers/_aggregation.py
@@ -24,7 +24,7 @@
 from balsamlift.clock import Clock
 from balsamlift.exceptions import PeerMessageError
 from balsamlift.metrics import Metrics
-from balsamlift.peers._gatherer import MAX_MESSAGE_BYTES, Gatherer
+from balsamlift.peers._aggregator import MAX_MESSAGE_BYTES, CountsAggregator
 from balsamlift.peers._messages import (
     CountsSums,
     CountsUpdate,
@@ -45,7 +45,7 @@
 # hosts choose the same upstreams.
 RECENT_S = 0.2
 # A generation waits no longer for better counts.
-ANSWER_MS = 80
+ANSWER_TIMEOUT_MS = 80
 # A host that did not answer is skipped for this long.
 AVOID_S = 1.0
 # Hosts asked in a row when one does not answer: the sums of this host must not
@@ -54,14 +54,14 @@
 
 
 @attrs.frozen
-class GatheringHost:
+class AggregatorHost:
     """Hold the address at which a live host listens for counts."""
 
     host: str
     address: str
 
 
-class Gathering:
+class CountsAggregation:
     """Send this host's counts to the aggregator and keep its sums."""
 
     def __init__(
@@ -80,9 +80,11 @@
         self._own = own
         self._incarnation = incarnation
         self._seqs = itertools.count(1)
-        self._gatherer = Gatherer(address, clock, self._update, self._records)
-        self.address = self._gatherer.address
-        self._hosts: Callable[[], Collection[GatheringHost]] = tuple
+        self._aggregator = CountsAggregator(
+            address, clock, self._build_update, self._records
+        )
+        self.address = self._aggregator.address
+        self._hosts: Callable[[], Collection[AggregatorHost]] = tuple
         self._avoided_s: dict[str, float] = {}
         self._sums: Mapping[str, int] = {}
         self._sums_received_s: float | None = None
@@ -95,17 +97,17 @@
         self._metrics = Metrics()
 
     def start(
-        self, hosts: Callable[[], Collection[GatheringHost]], metrics: Metrics
+        self, hosts: Callable[[], Collection[AggregatorHost]], metrics: Metrics
     ) -> None:
         """Start; `hosts` returns the other live hosts, none while few."""
         self._hosts = hosts
         self._metrics = metrics
-        self._gatherer.start()
-        self._task = asyncio.create_task(self._keep_telling())
+        self._aggregator.start()
+        self._task = asyncio.create_task(self._keep_sending())
 
     async def stop(self) -> None:
         """Close all connections."""
-        await self._gatherer.stop()
+        await self._aggregator.stop()
         await end_task(self._task)
         self._close()
 
@@ -136,9 +138,9 @@
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
         self._wake.set()
-        await asyncio.wait([waiter], timeout=2 * ANSWER_MS / 1_000)
+        await asyncio.wait([waiter], timeout=2 * ANSWER_TIMEOUT_MS / 1_000)
 
-    def _update(
+    def _build_update(
         self, *, wants_sums: bool = False, position: Position | None = None
     ) -> CountsUpdate:
         return CountsUpdate(
@@ -150,7 +152,7 @@
             position=position,
         )
 
-    async def _keep_telling(self) -> None:
+    async def _keep_sending(self) -> None:
         while True:
             try:
                 async with asyncio.timeout(REFRESH_S):
@@ -184,11 +186,11 @@
                 return
             self._avoid(aggregator)
 
-    def _avoid(self, target: GatheringHost) -> None:
+    def _avoid(self, target: AggregatorHost) -> None:
         self._avoided_s[target.host] = self._clock.monotonic() + AVOID_S
 
     async def _request_missing_records(
-        self, aggregator: GatheringHost
+        self, aggregator: AggregatorHost
     ) -> None:
         """Ask the next hosts for records that the aggregator cannot read.
 
@@ -208,12 +210,14 @@
                 self._records.take(sums.records, asked_s)
 
     async def _exchange_with(
-        self, target: GatheringHost, wants_sums: bool
+        self, target: AggregatorHost, wants_sums: bool
     ) -> CountsSums | None:
         if target.host == self.host:
-            return self._gatherer.take(self._update(wants_sums=wants_sums))
+            return self._aggregator.handle_update(
+                self._build_update(wants_sums=wants_sums)
+            )
         position = self._records.position()
-        update = self._update(wants_sums=wants_sums, position=position)
+        update = self._build_update(wants_sums=wants_sums, position=position)
         return await self._ask(target, update)
 
     def _store_sums(
@@ -224,16 +228,16 @@
             self._sums = sums.counts
             self._sums_received_s = self._clock.monotonic()
 
-    def _find_aggregator(self) -> GatheringHost | None:
+    def _find_aggregator(self) -> AggregatorHost | None:
         """Return the aggregator as computed by this host."""
         return next(iter(self._ranked()), None)
 
-    def _ranked(self) -> list[GatheringHost]:
+    def _ranked(self) -> list[AggregatorHost]:
         """Return the hosts that may aggregate, the preferred one first."""
         known = {each.host: each for each in self._hosts()}
         if not known:
             return []
-        known[self.host] = GatheringHost(self.host, self.address)
+        known[self.host] = AggregatorHost(self.host, self.address)
         now_s = self._clock.monotonic()
         return [
             known[host]
@@ -242,7 +246,7 @@
         ]
 
     async def _ask(
-        self, target: GatheringHost, update: CountsUpdate
+        self, target: AggregatorHost, update: CountsUpdate
     ) -> CountsSums | None:
         try:
             if self._dialled_address != target.address:
@@ -265,8 +269,8 @@
         self._close()
         self._req = pynng.Req0(
             recv_max_size=MAX_MESSAGE_BYTES,
-            recv_timeout=ANSWER_MS,
-            send_timeout=ANSWER_MS,
+            recv_timeout=ANSWER_TIMEOUT_MS,
+            send_timeout=ANSWER_TIMEOUT_MS,
         )
         self._req.dial(f"tcp://{address}", block=False)
         self._dialled_address = address
--- a/src/balsamlift/peers/_gatherer.py
+++ b/src/balsamlift/peers/_aggregator.py
@@ -30,7 +30,7 @@
 MAX_MESSAGE_BYTES = 1 << 20  # of an update or an answer
 
 
-class Gatherer:
+class CountsAggregator:
     """Sum up the counts of all hosts and answer each with the others' sums."""
 
     def __init__(
@@ -77,7 +77,7 @@
         for task in self._tasks:
             await end_task(task)
 
-    def take(self, update: CountsUpdate) -> CountsSums:
+    def handle_update(self, update: CountsUpdate) -> CountsSums:
         """Apply an update of a host; return the sums over all others."""
         now_s = self._clock.monotonic()
         if self._is_newer(update):
@@ -106,8 +106,8 @@
         while self._is_open:
             try:
                 update = decode_update(await context.arecv())
-                self.take(self._own())
-                await context.asend(encode_counts(self.take(update)))
+                self.handle_update(self._own())
+                await context.asend(encode_counts(self.handle_update(update)))
             except pynng.Closed:
                 return
             except (pynng.NNGException, PeerMessageError) as error:
--- a/src/balsamlift/peers/_load.py
+++ b/src/balsamlift/peers/_load.py
@@ -8,8 +8,8 @@
 from balsamlift._address import join_address, split_address
 from balsamlift.clock import Clock
 from balsamlift.metrics import Metrics
+from balsamlift.peers._aggregation import AggregatorHost, CountsAggregation
 from balsamlift.peers._counts import OwnCounts, PeerCounts
-from balsamlift.peers._gathering import Gathering, GatheringHost
 from balsamlift.peers._members import Members
 from balsamlift.peers._shared_records import SharedRecords
 from balsamlift.settings import Settings
@@ -39,7 +39,7 @@
         self.own = OwnCounts()
         self.heard = PeerCounts()
         self._fan_out = settings.peers.fan_out
-        self._gathering = Gathering(
+        self._aggregation = CountsAggregation(
             settings.host,
             clock,
             self.own.full,
@@ -47,7 +47,7 @@
             settings.counts_address or join_address(ip, 0),
             records,
         )
-        self.address = self._gathering.address
+        self.address = self._aggregation.address
 
     def start(
         self, members: Members, wake: Callable[[], None], metrics: Metrics
@@ -55,11 +55,11 @@
         """Start the exchange; `wake` sends on every link at once."""
         self._members = members
         self._wake = wake
-        self._gathering.start(self._gathering_hosts, metrics)
+        self._aggregation.start(self._aggregator_hosts, metrics)
 
     async def stop(self) -> None:
         """Close all connections."""
-        await self._gathering.stop()
+        await self._aggregation.stop()
 
     @property
     def hears_all(self) -> bool:
@@ -71,14 +71,14 @@
         """Return how the sums were obtained."""
         if self.hears_all:
             return "heard"
-        if self._gathering.is_recent:
+        if self._aggregation.is_recent:
             return "gathered"
-        return "old" if self._gathering.is_fresh else "scaled"
+        return "old" if self._aggregation.is_fresh else "scaled"
 
     def others(self, upstream: str) -> int:
         """Return the sum of the other hosts' counts for an upstream."""
-        if not self.hears_all and self._gathering.is_fresh:
-            return self._gathering.others(upstream)
+        if not self.hears_all and self._aggregation.is_fresh:
+            return self._aggregation.others(upstream)
         total = self.heard.total(upstream)
         known_hosts = self.heard.host_count()
         if self.hears_all or not known_hosts:
@@ -90,19 +90,19 @@
         if self.hears_all:
             self._wake()
         else:
-            self._gathering.send()
+            self._aggregation.send()
 
     async def refresh(self) -> None:
         """Fetch current sums where hosts do not hear from all others."""
         if not self.hears_all:
-            await self._gathering.refresh()
+            await self._aggregation.refresh()
 
-    def _gathering_hosts(self) -> list[GatheringHost]:
+    def _aggregator_hosts(self) -> list[AggregatorHost]:
         """Return the hosts that may aggregate; none while hosts are few."""
         if self.hears_all:
             return []
         return [
-            GatheringHost(member.host, member.counts_address)
+            AggregatorHost(member.host, member.counts_address)
             for member in self._members.others()
             if member.state == "live" and member.counts_address
         ]
--- a/tests/test_peers_gathering.py
+++ b/tests/test_peers_aggregation.py
@@ -19,13 +19,13 @@
     Record,
     Sources,
 )
-from balsamlift.peers._gatherer import HOST_TIMEOUT_S, Gatherer
-from balsamlift.peers._gathering import (
-    ANSWER_MS,
+from balsamlift.peers._aggregation import (
+    ANSWER_TIMEOUT_MS,
     FRESH_S,
-    Gathering,
-    GatheringHost,
+    AggregatorHost,
+    CountsAggregation,
 )
+from balsamlift.peers._aggregator import HOST_TIMEOUT_S, CountsAggregator
 from balsamlift.peers._messages import CountsUpdate, encode_counts
 from balsamlift.peers._readers import is_reader, rank_hosts
 from balsamlift.peers._shared_records import SharedRecords
@@ -51,10 +51,10 @@
         self.counts: dict[str, dict[str, int]] = {
             host: {} for host in HOSTS[:number]
         }
-        self.by_host: dict[str, Gathering] = {}
-        self.still_listed: list[Gathering] = []
+        self.by_host: dict[str, CountsAggregation] = {}
+        self.still_listed: list[CountsAggregation] = []
         for host, counts in self.counts.items():
-            self.by_host[host] = Gathering(
+            self.by_host[host] = CountsAggregation(
                 host, self.clock, lambda c=counts: dict(c), "i", "127.0.0.1:0"
             )
 
@@ -69,16 +69,16 @@
             if host != own
         )
 
-    def others(self, own: str) -> Callable[[], list[GatheringHost]]:
+    def others(self, own: str) -> Callable[[], list[AggregatorHost]]:
         return lambda: [
-            GatheringHost(each.host, each.address)
+            AggregatorHost(each.host, each.address)
             for each in (*self.by_host.values(), *self.still_listed)
             if each.host != own
         ]
 
     async def stop(self) -> None:
-        for gathering in self.by_host.values():
-            await gathering.stop()
+        for aggregation in self.by_host.values():
+            await aggregation.stop()
 
     async def sums(self, host: str) -> int:
         """Return the sum over the others at that host after a refresh."""
@@ -146,13 +146,13 @@
 def test_a_refresh_without_answers_is_short() -> None:
     async def test(cluster: Cluster) -> None:
         host = rank_hosts(cluster.by_host)[-1]
-        for other, gathering in cluster.by_host.items():
+        for other, aggregation in cluster.by_host.items():
             if other != host:
-                await gathering.stop()
+                await aggregation.stop()
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         await cluster.by_host[host].refresh()
-        assert loop.time() - started_s < 50 * ANSWER_MS / 1_000
+        assert loop.time() - started_s < 50 * ANSWER_TIMEOUT_MS / 1_000
         assert not cluster.by_host[host].is_fresh
 
     run(test)
@@ -171,44 +171,44 @@
 
 def test_few_hosts_aggregate_nothing() -> None:
     async def test(cluster: Cluster) -> None:
-        gathering = cluster.by_host["h00"]
-        await gathering.refresh()
-        assert not gathering.is_fresh
+        aggregation = cluster.by_host["h00"]
+        await aggregation.refresh()
+        assert not aggregation.is_fresh
 
     run(test, number=1)
 
 
 class DirectUpdates:
-    """A gatherer to which a test sends updates directly."""
+    """An aggregator to which a test sends updates directly."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
         own = CountsUpdate("h00", "i", 0, {}, False)
-        self.gatherer = Gatherer(
+        self.aggregator = CountsAggregator(
             "127.0.0.1:0", self.clock, lambda: own, SharedRecords(self.clock)
         )
 
-    def take(self, host: str, seq: int, n: int, incarnation: str = "i") -> int:
+    def send(self, host: str, seq: int, n: int, incarnation: str = "i") -> int:
         counts = {"e1": n} if n else {}
         update = CountsUpdate(host, incarnation, seq, counts, True)
-        return self.gatherer.take(update).counts.get("e1", 0)
+        return self.aggregator.handle_update(update).counts.get("e1", 0)
 
 
 def test_an_older_update_changes_nothing() -> None:
     updates = DirectUpdates()
-    updates.take("h01", seq=5, n=7)
-    updates.take("h01", seq=4, n=9)
-    assert updates.take("h02", seq=1, n=0) == 7
-    updates.take("h01", seq=1, n=3, incarnation="next")
-    assert updates.take("h02", seq=2, n=0) == 3
+    updates.send("h01", seq=5, n=7)
+    updates.send("h01", seq=4, n=9)
+    assert updates.send("h02", seq=1, n=0) == 7
+    updates.send("h01", seq=1, n=3, incarnation="next")
+    assert updates.send("h02", seq=2, n=0) == 3
 
 
 def test_counts_of_a_silent_host_are_dropped() -> None:
     updates = DirectUpdates()
-    updates.take("h01", seq=1, n=7)
+    updates.send("h01", seq=1, n=7)
     updates.clock.offset_s = HOST_TIMEOUT_S + 0.1
-    assert updates.take("h02", seq=1, n=2) == 0
-    assert updates.take("h01", seq=2, n=7) == 2
+    assert updates.send("h02", seq=1, n=2) == 0
+    assert updates.send("h01", seq=2, n=7) == 2
 
 
 class FailingContext:
@@ -231,18 +231,18 @@
         updates = DirectUpdates()
         update = CountsUpdate("h01", "i", 1, {"e1": 7}, True)
         context = FailingContext([encode_counts(update), b"void", b"void"])
-        await updates.gatherer._serve(context)  # type: ignore[arg-type]
+        await updates.aggregator._serve(context)  # type: ignore[arg-type]
         assert context.messages == []
-        assert updates.take("h02", seq=1, n=0) == 7
+        assert updates.send("h02", seq=1, n=0) == 7
 
     run(test, number=1)
 
 
 def test_sums_are_sent_only_where_wanted() -> None:
     updates = DirectUpdates()
-    updates.take("h01", seq=1, n=7)
+    updates.send("h01", seq=1, n=7)
     update = CountsUpdate("h02", "i", 1, {}, False)
-    assert updates.gatherer.take(update).counts == {}
+    assert updates.aggregator.handle_update(update).counts == {}
 
 
 @pytest.mark.parametrize("most", [1, 9, 30])
@@ -277,13 +277,15 @@
     encoded = b"routes"
 
 
-def share_records(gathering: Gathering, clock: ManualClock) -> Follower:
+def share_records(
+    aggregation: CountsAggregation, clock: ManualClock
+) -> Follower:
     """Connect a host to a topic that the first in rank cannot read."""
-    is_first = gathering.host == rank_hosts(HOSTS[:5])[0]
+    is_first = aggregation.host == rank_hosts(HOSTS[:5])[0]
     pace = Pace(wait_ms=100, most_age_s=30.0)
     follower = Follower(Topic(not is_first), "t", clock, pace)
     follower.confirm(clock.monotonic())  # fresh: no host has to read yet
-    records = gathering._records
+    records = aggregation._records
     follower.share(lambda: records.is_asked)
     records.connect(
         Sources(
@@ -310,8 +312,8 @@
 
     async def test(cluster: Cluster) -> None:
         followers = {
-            host: share_records(gathering, cluster.clock)
-            for host, gathering in cluster.by_host.items()
+            host: share_records(aggregation, cluster.clock)
+            for host, aggregation in cluster.by_host.items()
         }
         tasks = [
             asyncio.create_task(keep_following(follower))
@@ -336,12 +338,12 @@
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: errors.append(context))
         for pause_s in (None, 0.0, 0.01):
-            gatherer = DirectUpdates().gatherer
-            gatherer.start()
+            aggregator = DirectUpdates().aggregator
+            aggregator.start()
             if pause_s is not None:
                 await asyncio.sleep(pause_s)
-            await gatherer.stop()
-            del gatherer
+            await aggregator.stop()
+            del aggregator
             gc.collect()
 
     asyncio.run(main())
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -25,7 +25,11 @@
     SharedRecords,
     Sources,
 )
-from balsamlift.peers._gathering import ANSWER_MS, Gathering, GatheringHost
+from balsamlift.peers._aggregation import (
+    ANSWER_TIMEOUT_MS,
+    AggregatorHost,
+    CountsAggregation,
+)
 from balsamlift.peers._membership import READERS_OF_MANY
 from balsamlift.peers._messages import CountsSums, CountsUpdate
 from balsamlift.peers._readers import is_reader, rank_hosts
@@ -158,20 +162,20 @@
             raise StoreError("turned away")
 
 
-class HostGathering(Gathering):
+class HostGathering(CountsAggregation):
     """Exchange with other hosts of the test instead of over sockets."""
 
     hosts_by_name: dict[str, "Host"]
 
     async def _ask(
-        self, found: GatheringHost, update: CountsUpdate
+        self, found: AggregatorHost, update: CountsUpdate
     ) -> CountsSums | None:
         await asyncio.sleep(CALL_S)
         asked = self.hosts_by_name[found.host]
         if not asked.is_well:
-            await asyncio.sleep(ANSWER_MS / 1_000)
+            await asyncio.sleep(ANSWER_TIMEOUT_MS / 1_000)
             return None
-        return asked.gathering._gatherer.take(update)
+        return asked.gathering._aggregator.handle_update(update)
 
 
 class Copy:
@@ -280,10 +284,10 @@
         for n in range(number):
             self.hosts[f"h{n}"] = Host(f"h{n}", self)
 
-    def others(self, own: str) -> list[GatheringHost]:
+    def others(self, own: str) -> list[AggregatorHost]:
         now_s = asyncio.get_running_loop().time()
         return [
-            GatheringHost(name, name)
+            AggregatorHost(name, name)
             for name in self.hosts
             if name != own and now_s - self._gone_s.get(name, now_s) < DEAD_S
         ]
@@ -303,7 +307,7 @@
 
     async def _gather(self, host: Host, phase_s: float) -> None:
         await asyncio.sleep(phase_s)
-        await host.gathering._keep_telling()
+        await host.gathering._keep_sending()
 
     def kill(self, name: str) -> None:
         self.hosts[name].is_well = False
