--- a/src/balsamlift/peers/_composer.py
+++ b/src/balsamlift/peers/_composer.py
@@ -13,7 +13,7 @@
 from balsamlift.peers._evacuations import EvacuationNews
 from balsamlift.peers._link import Draft, Link, SentChanges
 from balsamlift.peers._members import Members
-from balsamlift.peers._messages import Member, PeerMessage, Shared
+from balsamlift.peers._messages import Member, PeerMessage, SharedPlatformState
 from balsamlift.peers._peer_statuses import PeerStatuses
 from balsamlift.peers._upstream_reports import UpstreamReports
 
@@ -31,7 +31,7 @@
     caught_up: bool
     chosen: bool
     wants_members: bool
-    shared: Shared | None = None
+    shared: SharedPlatformState | None = None
     evacuations: EvacuationNews | None = None
 
 
--- a/src/balsamlift/peers/_messages.py
+++ b/src/balsamlift/peers/_messages.py
@@ -66,7 +66,7 @@
     had_output: bool = False  # from that upstream
 
 
-class Shared(msgspec.Struct, frozen=True, array_like=True):
+class SharedPlatformState(msgspec.Struct, frozen=True, array_like=True):
     """Hold platform data for a host that cannot read the platform."""
 
     wants_list: bool = False  # the sender cannot read the list itself
@@ -99,7 +99,9 @@
     upstream_reports: list[UpstreamReport] = msgspec.field(
         default_factory=list
     )
-    shared: Shared | None = None  # left out of nearly all messages
+    shared: SharedPlatformState | None = (
+        None  # left out of nearly all messages
+    )
     evacuations: EvacuationNews | None = None  # None: not known yet
     crash_reports: list[CrashReport] = msgspec.field(default_factory=list)
 
--- a/src/balsamlift/peers/_sharing.py
+++ b/src/balsamlift/peers/_sharing.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from balsamlift.clock import Clock
-from balsamlift.peers._messages import Shared
+from balsamlift.peers._messages import SharedPlatformState
 from balsamlift.peers._peer_statuses import PeerStatus
 from balsamlift.peers._shared_records import is_too_large
 from balsamlift.peers._upstreams import Upstreams
@@ -42,7 +42,7 @@
         heard: PeerStatus | None,
         offset: int,
         upstreams: Upstreams,
-    ) -> Shared | None:
+    ) -> SharedPlatformState | None:
         """Return what a peer, or this host, lacks; None: nothing.
 
         `offset` is of the configuration here, `heard` what the peer told.
@@ -54,9 +54,11 @@
             listed = upstreams.to_share()
         if not (configuration or wants_list or listed):
             return None
-        return Shared(wants_list, configuration, listed)
+        return SharedPlatformState(wants_list, configuration, listed)
 
-    def take(self, shared: Shared | None, upstreams: Upstreams) -> None:
+    def take(
+        self, shared: SharedPlatformState | None, upstreams: Upstreams
+    ) -> None:
         """Take in what a peer passed on, if anything."""
         if shared is None:
             return
--- a/tests/test_peers_messages.py
+++ b/tests/test_peers_messages.py
@@ -16,7 +16,7 @@
     CountsUpdate,
     Member,
     PeerMessage,
-    Shared,
+    SharedPlatformState,
     UpstreamReport,
     decode_message,
     decode_sums,
@@ -40,7 +40,7 @@
     members=[Member("h2", "i2", 1, 2, "leaving", "o", "c", "p", "north")],
     counts={"e1": 3_000},
     upstream_reports=[UpstreamReport("e1", "10.0.0.1:80", "dead", 500)],
-    shared=Shared(True, b"routes", [ListEntry("e2", "upstream")]),
+    shared=SharedPlatformState(True, b"routes", [ListEntry("e2", "upstream")]),
 )
 NEWS = TopicNews(9, 20, True, [Record("k", None, 8), Record("l", b"v", 7)])
 SUMS = CountsSums({"e1": 3}, RecordsAnswer(4, None, b"routes", NEWS))
