--- a/src/balsamlift/peers/_load.py
+++ b/src/balsamlift/peers/_load.py
@@ -62,14 +62,14 @@
         await self._aggregation.stop()
 
     @property
-    def hears_all(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Return whether the other hosts are no more than the fan-out."""
         return self._members.live_others <= self._fan_out
 
     @property
     def basis(self) -> CountsBasis:
         """Return how the sums were obtained."""
-        if self.hears_all:
+        if self.is_full_mesh:
             return "heard"
         if self._aggregation.is_recent:
             return "gathered"
@@ -77,29 +77,29 @@
 
     def others(self, upstream: str) -> int:
         """Return the sum of the other hosts' counts for an upstream."""
-        if not self.hears_all and self._aggregation.is_fresh:
+        if not self.is_full_mesh and self._aggregation.is_fresh:
             return self._aggregation.others(upstream)
         total = self.heard.total(upstream)
         known_hosts = self.heard.host_count()
-        if self.hears_all or not known_hosts:
+        if self.is_full_mesh or not known_hosts:
             return total
         return round(total * self._members.live_others / known_hosts)
 
     def send(self) -> None:
         """Send this host's counts to the other hosts at once."""
-        if self.hears_all:
+        if self.is_full_mesh:
             self._wake()
         else:
             self._aggregation.send()
 
     async def refresh(self) -> None:
         """Fetch current sums where hosts do not hear from all others."""
-        if not self.hears_all:
+        if not self.is_full_mesh:
             await self._aggregation.refresh()
 
     def _aggregator_hosts(self) -> list[AggregatorHost]:
         """Return the hosts that may aggregate; none while hosts are few."""
-        if self.hears_all:
+        if self.is_full_mesh:
             return []
         return [
             AggregatorHost(member.host, member.counts_address)
--- a/src/balsamlift/peers/_membership.py
+++ b/src/balsamlift/peers/_membership.py
@@ -219,9 +219,9 @@
         return self._load.basis
 
     @property
-    def hears_all(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Return whether hosts are so few that each hears all others."""
-        return self._load.hears_all
+        return self._load.is_full_mesh
 
     def place_for(self, subject: str) -> Place:
         """Return this host's rank among the live hosts for that subject."""
@@ -297,7 +297,7 @@
 
         With many hosts, the source itself waits for changes.
         """
-        return not self.hears_all or self.reads_for_others()
+        return not self.is_full_mesh or self.reads_for_others()
 
     @property
     def reads_records(self) -> bool:
@@ -307,7 +307,7 @@
         and so does any host that others ask, whatever rank it computes for
         itself.
         """
-        if self.hears_all or self.records.is_asked:
+        if self.is_full_mesh or self.records.is_asked:
             return True
         return self.reads_for_others(READERS_OF_MANY)
 
--- a/src/balsamlift/relay/_balance.py
+++ b/src/balsamlift/relay/_balance.py
@@ -84,7 +84,7 @@
     @property
     def hears_all(self) -> bool:
         """Tell whether the other hosts' counts come by themselves, at once."""
-        return self._peers.hears_all
+        return self._peers.is_full_mesh
 
     @property
     def counts_basis(self) -> CountsBasis:
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -215,7 +215,7 @@
 
     async def _keep_looking(self) -> None:
         while True:
-            hears_all = self._peers.hears_all
+            hears_all = self._peers.is_full_mesh
             await self._clock.sleep(LOOK_S if hears_all else GATHERED_LOOK_S)
             if self._rooms.waiting:
                 await self._balancer.refresh()
