--- a/bench/placing.py
+++ b/bench/placing.py
@@ -124,7 +124,7 @@
     def set_in_flight(self, upstream: str, n: int) -> None:
         """Tell nobody."""
 
-    def tell_counts(self) -> None:
+    def send_counts(self) -> None:
         """Tell nobody."""
 
     def place_for(self, subject: str) -> Place:
--- a/src/balsamlift/peers/_membership.py
+++ b/src/balsamlift/peers/_membership.py
@@ -205,7 +205,7 @@
         """Set this host's count, to be sent with the next heartbeat."""
         self._load.own.set(upstream, n)
 
-    def tell_counts(self) -> None:
+    def send_counts(self) -> None:
         """Send this host's counts to peers at once."""
         self._load.send()
 
--- a/src/balsamlift/relay/_balance.py
+++ b/src/balsamlift/relay/_balance.py
@@ -71,7 +71,7 @@
         self.health = UpstreamHealth()
         self._words = Words(
             peers.set_in_flight,
-            peers.tell_counts,
+            peers.send_counts,
             self._told_words,
             peers.place_for,
         )
@@ -115,7 +115,7 @@
 
         Until they do, they may fill the same engine.
         """
-        self._peers.tell_counts()
+        self._peers.send_counts()
 
     async def refresh(self) -> None:
         """Have what the other hosts have in flight by now, if that lags."""
--- a/tests/_shared_counts.py
+++ b/tests/_shared_counts.py
@@ -46,7 +46,7 @@
     def set_in_flight(self, upstream: str, n: int) -> None:
         self._own[upstream] = n
 
-    def tell_counts(self) -> None:
+    def send_counts(self) -> None:
         sent = dict(self._own)
         asyncio.get_running_loop().call_later(
             SEND_DELAY_S, self._counts.by_host.__setitem__, self._host, sent
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -306,7 +306,7 @@
         first, second = await cluster.grow(2)
         await until(lambda: first.peer("h01").last_heard_s)
         second.peers.set_in_flight("e1", 5)
-        second.peers.tell_counts()
+        second.peers.send_counts()
         async with asyncio.timeout(3.0):  # before the next heartbeat
             await until(lambda: first.peers.in_flight("e1") == 5)
 
--- a/tests/test_relay_filling.py
+++ b/tests/test_relay_filling.py
@@ -42,7 +42,7 @@
     def set_in_flight(self, upstream: str, n: int) -> None:
         pass
 
-    def tell_counts(self) -> None:
+    def send_counts(self) -> None:
         pass
 
     counts_basis: CountsBasis = "heard"
--- a/tests/test_relay_rooms.py
+++ b/tests/test_relay_rooms.py
@@ -41,7 +41,7 @@
     async def refresh_counts(self) -> None:
         pass
 
-    def tell_counts(self) -> None:
+    def send_counts(self) -> None:
         self.told.append(dict(self._own))
 
 
