--- a/src/balsamlift/peers/_membership.py
+++ b/src/balsamlift/peers/_membership.py
@@ -42,7 +42,7 @@
 
 # All other hosts ask the first one. The second is as up to date and takes over
 # when the first is gone.
-READERS_OF_MANY = 2
+RECORD_READERS = 2
 
 
 class Peers:
@@ -309,7 +309,7 @@
         """
         if self.is_full_mesh or self.records.is_asked:
             return True
-        return self.reads_for_others(READERS_OF_MANY)
+        return self.reads_for_others(RECORD_READERS)
 
     def reads_for_others(self, max_readers: int | None = None) -> bool:
         """Return whether this host sends changes of the list to the others."""
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -30,7 +30,7 @@
     AggregatorHost,
     CountsAggregation,
 )
-from balsamlift.peers._membership import READERS_OF_MANY
+from balsamlift.peers._membership import RECORD_READERS
 from balsamlift.peers._messages import CountsSums, CountsUpdate
 from balsamlift.peers._readers import is_reader, rank_hosts
 from balsamlift.peers._shared_records import is_too_large
@@ -241,7 +241,7 @@
 
     def _reads(self, cluster: "Cluster") -> bool:
         others = {each.host for each in cluster.others(self.name)}
-        is_ranked = is_reader(self.name, others, READERS_OF_MANY)
+        is_ranked = is_reader(self.name, others, RECORD_READERS)
         return is_ranked or self.records.is_asked
 
     async def follow_configuration(self) -> None:
@@ -384,7 +384,7 @@
 
 
 def readers_killed(cluster: Cluster) -> None:
-    for name in cluster.ranked()[:READERS_OF_MANY]:
+    for name in cluster.ranked()[:RECORD_READERS]:
         cluster.kill(name)
 
 
@@ -394,7 +394,7 @@
 
 
 def readers_cut_off(cluster: Cluster) -> None:
-    cluster.store.unanswered = frozenset(cluster.ranked()[:READERS_OF_MANY])
+    cluster.store.unanswered = frozenset(cluster.ranked()[:RECORD_READERS])
 
 
 def third_turned_away(cluster: Cluster) -> None:
