--- a/src/balsamlift/peers/_aggregator.py
+++ b/src/balsamlift/peers/_aggregator.py
@@ -81,7 +81,7 @@
         """Apply an update of a host; return the sums over all others."""
         now_s = self._clock.monotonic()
         if self._is_newer(update):
-            self._counts.take(update.host, update.counts, full=True)
+            self._counts.update(update.host, update.counts, full=True)
             self._updated_s[update.host] = now_s
         for host, updated_s in list(self._updated_s.items()):
             if now_s - updated_s > HOST_TIMEOUT_S:
--- a/src/balsamlift/peers/_counts.py
+++ b/src/balsamlift/peers/_counts.py
@@ -45,7 +45,7 @@
             changed[upstream] = self._sent[upstream]
         return changed
 
-    def drop_told(self, change: int) -> None:
+    def drop_sent_zeros(self, change: int) -> None:
         """Drop zeros up to that change, which every link has sent."""
         for upstream, number in list(self._changes.items()):
             if number > change:
@@ -63,7 +63,7 @@
         self._by_host: dict[str, dict[str, int]] = {}
         self._sums: Counter[str] = Counter()
 
-    def take(self, host: str, counts: dict[str, int], *, full: bool) -> None:
+    def update(self, host: str, counts: dict[str, int], *, full: bool) -> None:
         """Apply counts that a peer sent: all of them, or changes only."""
         if full:
             self.drop(host)
--- a/src/balsamlift/peers/_load.py
+++ b/src/balsamlift/peers/_load.py
@@ -37,7 +37,7 @@
     ) -> None:
         """Aggregate at the address in the settings, or any port of `ip`."""
         self.own = OwnCounts()
-        self.heard = PeerCounts()
+        self.peer_counts = PeerCounts()
         self._fan_out = settings.peers.fan_out
         self._aggregation = CountsAggregation(
             settings.host,
@@ -79,8 +79,8 @@
         """Return the sum of the other hosts' counts for an upstream."""
         if not self.is_full_mesh and self._aggregation.is_fresh:
             return self._aggregation.others(upstream)
-        total = self.heard.total(upstream)
-        known_hosts = self.heard.host_count()
+        total = self.peer_counts.total(upstream)
+        known_hosts = self.peer_counts.host_count()
         if self.is_full_mesh or not known_hosts:
             return total
         return round(total * self._members.live_others / known_hosts)
--- a/src/balsamlift/peers/_membership.py
+++ b/src/balsamlift/peers/_membership.py
@@ -416,7 +416,7 @@
 
     def _drop_counts(self, host: str) -> None:
         """Drop a host's counts and request all of them if it is heard."""
-        self._load.heard.drop(host)
+        self._load.peer_counts.drop(host)
         self._peer_statuses.request_full_state(host)
 
     def _drop_expired(self) -> None:
@@ -426,7 +426,7 @@
         sent_change = self._links.sent_counts_change(
             default=self._load.own.change
         )
-        self._load.own.drop_told(sent_change)
+        self._load.own.drop_sent_zeros(sent_change)
         keep_s = self._settings.limits.key_lifetime_ms / 1_000
         for host, since_s in list(self._dead_since_s.items()):
             if now_s - since_s > keep_s:
--- a/src/balsamlift/peers/_receiver.py
+++ b/src/balsamlift/peers/_receiver.py
@@ -43,7 +43,7 @@
             return
         for member in message.members:
             self._merge_member(member)
-        self._load.heard.take(
+        self._load.peer_counts.update(
             message.host, message.counts, full=message.counts_are_full
         )
         self._upstream_gossip.receive(message.upstream_reports)
@@ -64,7 +64,7 @@
         if message.incarnation in seen[:-1]:
             return False  # from before its restart
         if not self._peer_statuses.find_incarnation(host, message.incarnation):
-            self._load.heard.drop(host)
+            self._load.peer_counts.drop(host)
         return self._peer_statuses.update(message)
 
     def _merge_member(self, member: Member) -> None:
--- a/tests/test_peers_tables.py
+++ b/tests/test_peers_tables.py
@@ -121,16 +121,16 @@
         exact[upstream] = rng.choice([0, 1, 5, 1_000, 1_010, 20_000])
         own.set(upstream, exact[upstream])
         if step % 7 == 0:
-            peers.take("h1", own.changed_since(told), full=False)
+            peers.update("h1", own.changed_since(told), full=False)
             told = own.change
-            own.drop_told(told)
-    peers.take("h1", own.changed_since(told), full=False)
+            own.drop_sent_zeros(told)
+    peers.update("h1", own.changed_since(told), full=False)
     for upstream, n in exact.items():
         assert peers.total(upstream) == pytest.approx(n, rel=0.1)
         assert (peers.total(upstream) == 0) == (n == 0)
-    peers.take("h1", own.full(), full=True)
+    peers.update("h1", own.full(), full=True)
     assert {u: peers.total(u) for u in exact} == exact
-    peers.take("h2", {"e1": 3}, full=True)
+    peers.update("h2", {"e1": 3}, full=True)
     peers.drop("h1")
     assert peers.total("e1") == 3
 
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -255,7 +255,7 @@
     world: RelayWorld, stand_ins: list[ReplicaStandIn]
 ) -> None:
     words = {"model-0/failing": 2, "model-0/trial": 2}
-    world.peers._load.heard.take("another", words, full=True)
+    world.peers._load.peer_counts.update("another", words, full=True)
     behave(stand_ins, stream)
     await world.call("/draft/1", headers=USAGE)
 
