--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -591,10 +591,10 @@
     """
     described = 0
 
-    def count(member: Member, heard: PeerStatus | None) -> Peer:
+    def count(member: Member, status: PeerStatus | None) -> Peer:
         nonlocal described
         described += 1
-        return describe(member, heard)
+        return describe(member, status)
 
     async def scenario(cluster: Cluster) -> None:
         await cluster.grow(6)
