--- a/src/balsamlift/peers/_load.py
+++ b/src/balsamlift/peers/_load.py
@@ -1,4 +1,4 @@
-"""What all hosts together have in flight at each upstream."""
+"""The in-flight counts of all hosts together, per upstream."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 from balsamlift._address import join_address, split_address
 from balsamlift.clock import Clock
 from balsamlift.metrics import Metrics
+from balsamlift.peers._aggregation import AggregatorHost, CountsAggregation
 from balsamlift.peers._counts import OwnCounts, PeerCounts
-from balsamlift.peers._gathering import Gathering, GatheringHost
 from balsamlift.peers._members import Members
 from balsamlift.peers._shared_records import SharedRecords
 from balsamlift.settings import Settings
 
-# What is known of others' counts: told by all of them, summed up by one of
-# them just now or some time ago, or worked out from those of a few.
+# How the counts of others were obtained: received from all of them, summed up
+# by one of them just now or some time ago, or extrapolated from a few.
 CountsBasis = Literal["heard", "gathered", "old", "scaled"]
 
 
 class Load:
-    """Know counts by whichever way the number of hosts allows.
+    """Obtain counts in the way that the number of hosts allows.
 
-    Up to the fan-out every host hears all others. Beyond it one gathers what
-    all tell; without its word, the sum of those heard is scaled up.
+    Up to the fan-out, every host hears all others. Beyond it, one host
+    aggregates the counts of all; without its answer, the sum over the hosts
+    heard is scaled up.
     """
 
     def __init__(
@@ -34,11 +35,11 @@
         clock: Clock,
         records: SharedRecords,
     ) -> None:
-        """Gather at the address in the settings, or at any port of `ip`."""
+        """Aggregate at the address in the settings, or any port of `ip`."""
         self.own = OwnCounts()
-        self.heard = PeerCounts()
+        self.peer_counts = PeerCounts()
         self._fan_out = settings.peers.fan_out
-        self._gathering = Gathering(
+        self._aggregation = CountsAggregation(
             settings.host,
             clock,
             self.own.full,
@@ -46,67 +47,67 @@
             settings.counts_address or join_address(ip, 0),
             records,
         )
-        self.address = self._gathering.address
+        self.address = self._aggregation.address
 
     def start(
         self, members: Members, wake: Callable[[], None], metrics: Metrics
     ) -> None:
-        """Begin; `wake` sends on every link at once."""
+        """Start the exchange; `wake` sends on every link at once."""
         self._members = members
         self._wake = wake
-        self._gathering.start(self._gathering_hosts, metrics)
+        self._aggregation.start(self._aggregator_hosts, metrics)
 
     async def stop(self) -> None:
         """Close all connections."""
-        await self._gathering.stop()
+        await self._aggregation.stop()
 
     @property
-    def hears_all(self) -> bool:
-        """Tell whether the other hosts are no more than the fan-out."""
+    def is_full_mesh(self) -> bool:
+        """Return whether the other hosts are no more than the fan-out."""
         return self._members.live_others <= self._fan_out
 
     @property
     def basis(self) -> CountsBasis:
-        """Return what the sums rest on."""
-        if self.hears_all:
+        """Return how the sums were obtained."""
+        if self.is_full_mesh:
             return "heard"
-        if self._gathering.is_recent:
+        if self._aggregation.is_recent:
             return "gathered"
-        return "old" if self._gathering.is_fresh else "scaled"
+        return "old" if self._aggregation.is_fresh else "scaled"
 
     def others(self, upstream: str) -> int:
-        """Return what the other hosts have in flight there."""
-        if not self.hears_all and self._gathering.is_fresh:
-            return self._gathering.others(upstream)
-        total = self.heard.total(upstream)
-        told = self.heard.hosts()
-        if self.hears_all or not told:
+        """Return the sum of the other hosts' counts for an upstream."""
+        if not self.is_full_mesh and self._aggregation.is_fresh:
+            return self._aggregation.others(upstream)
+        total = self.peer_counts.total(upstream)
+        known_hosts = self.peer_counts.host_count()
+        if self.is_full_mesh or not known_hosts:
             return total
-        return round(total * self._members.live_others / told)
+        return round(total * self._members.live_others / known_hosts)
 
-    def tell(self) -> None:
-        """Tell the other hosts of this one's counts at once."""
-        if self.hears_all:
+    def send(self) -> None:
+        """Send this host's counts to the other hosts at once."""
+        if self.is_full_mesh:
             self._wake()
         else:
-            self._gathering.tell()
+            self._aggregation.send()
 
     async def refresh(self) -> None:
-        """Have sums of now, where hosts do not hear from all others."""
-        if not self.hears_all:
-            await self._gathering.refresh()
+        """Fetch current sums where hosts do not hear from all others."""
+        if not self.is_full_mesh:
+            await self._aggregation.refresh()
 
-    def _gathering_hosts(self) -> list[GatheringHost]:
-        """Return the other hosts that may gather; none while hosts are few."""
-        if self.hears_all:
+    def _aggregator_hosts(self) -> list[AggregatorHost]:
+        """Return the hosts that may aggregate; none while hosts are few."""
+        if self.is_full_mesh:
             return []
         return [
-            GatheringHost(member.host, member.counts_address)
+            AggregatorHost(member.host, member.counts_address)
             for member in self._members.others()
             if member.state == "live" and member.counts_address
         ]
 
 
 def ip_of(address: str) -> str:
-    """Return the IP number of "IP:port"."""
+    """Return the IP address of "IP:port"."""
     return split_address(address)[0]
--- a/src/balsamlift/peers/_sharing.py
+++ b/src/balsamlift/peers/_sharing.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from balsamlift.clock import Clock
-from balsamlift.peers._heard import Heard
-from balsamlift.peers._messages import Shared
+from balsamlift.peers._messages import SharedPlatformState
+from balsamlift.peers._peer_statuses import PeerStatus
 from balsamlift.peers._shared_records import is_too_large_to_send
 from balsamlift.peers._upstreams import Upstreams
 
@@ -43,10 +43,10 @@
     def compose(
         self,
         host: str,
-        heard: Heard | None,
+        heard: PeerStatus | None,
         offset: int,
         upstreams: Upstreams,
-    ) -> Shared | None:
+    ) -> SharedPlatformState | None:
         """Return the data or requests for a message to `host`, or None.
 
         `offset` is that of the configuration of this host, `heard` the last
@@ -59,9 +59,11 @@
             listed = upstreams.entries_to_share()
         if not (configuration or wants_list or listed):
             return None
-        return Shared(wants_list, configuration, listed)
+        return SharedPlatformState(wants_list, configuration, listed)
 
-    def apply(self, shared: Shared | None, upstreams: Upstreams) -> None:
+    def apply(
+        self, shared: SharedPlatformState | None, upstreams: Upstreams
+    ) -> None:
         """Apply what a peer passed on, if anything."""
         if shared is None:
             return
@@ -70,7 +72,7 @@
         upstreams.apply_peer_list(shared.listed)
 
     def _overdue_configuration(
-        self, host: str, heard: Heard | None, offset: int
+        self, host: str, heard: PeerStatus | None, offset: int
     ) -> bytes:
         """Return the configuration if the peer lags for too long, else b""."""
         if heard is None or heard.offset >= offset:
--- a/src/balsamlift/relay/_balance.py
+++ b/src/balsamlift/relay/_balance.py
@@ -72,7 +72,7 @@
         self.health = UpstreamHealth()
         self._shared_health = SharedHealth(
             peers.set_in_flight,
-            peers.tell_counts,
+            peers.send_counts,
             self._reporting_hosts,
             peers.place_for,
         )
@@ -85,7 +85,7 @@
     @property
     def receives_pushed_counts(self) -> bool:
         """Tell whether other hosts push their counts as they change."""
-        return self._peers.hears_all
+        return self._peers.is_full_mesh
 
     @property
     def counts_basis(self) -> CountsBasis:
@@ -118,7 +118,7 @@
 
         Until they receive them, they may fill the same engine.
         """
-        self._peers.tell_counts()
+        self._peers.send_counts()
 
     async def refresh(self) -> None:
         """Fetch the current counts of other hosts if they are not pushed."""
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -223,10 +223,10 @@
 
     async def _poll_for_room(self) -> None:
         while True:
-            hears_all = self._peers.hears_all
+            is_full_mesh = self._peers.is_full_mesh
             await self._clock.sleep(
                 ROOM_POLL_INTERVAL_S
-                if hears_all
+                if is_full_mesh
                 else GATHERED_ROOM_POLL_INTERVAL_S
             )
             if self._rooms.waiting_count:
--- a/tests/test_peers_tables.py
+++ b/tests/test_peers_tables.py
@@ -10,8 +10,11 @@
 
 from balsamlift.peers._counts import OwnCounts, PeerCounts
 from balsamlift.peers._members import MAX_INCARNATIONS, Members
-from balsamlift.peers._messages import Member, UpstreamNote
-from balsamlift.peers._notes import NOTE_TTL_MS, Notes
+from balsamlift.peers._messages import Member, UpstreamReport
+from balsamlift.peers._upstream_reports import (
+    UPSTREAM_REPORT_TTL_MS,
+    UpstreamReports,
+)
 
 HOSTS = 4
 
@@ -120,31 +123,33 @@
         exact[upstream] = rng.choice([0, 1, 5, 1_000, 1_010, 20_000])
         own.set(upstream, exact[upstream])
         if step % 7 == 0:
-            peers.take("h1", own.changed_since(sent_up_to), full=False)
+            peers.update("h1", own.changed_since(sent_up_to), full=False)
             sent_up_to = own.change
-            own.drop_told(sent_up_to)
-    peers.take("h1", own.changed_since(sent_up_to), full=False)
+            own.drop_sent_zeros(sent_up_to)
+    peers.update("h1", own.changed_since(sent_up_to), full=False)
     for upstream, n in exact.items():
         assert peers.total(upstream) == pytest.approx(n, rel=0.1)
         assert (peers.total(upstream) == 0) == (n == 0)
-    peers.take("h1", own.full(), full=True)
+    peers.update("h1", own.full(), full=True)
     assert {u: peers.total(u) for u in exact} == exact
-    peers.take("h2", {"e1": 3}, full=True)
+    peers.update("h2", {"e1": 3}, full=True)
     peers.drop("h1")
     assert peers.total("e1") == 3
 
 
-def note(ttl_ms: int = NOTE_TTL_MS, address: str = "a:1") -> UpstreamNote:
-    return UpstreamNote(
+def note(
+    ttl_ms: int = UPSTREAM_REPORT_TTL_MS, address: str = "a:1"
+) -> UpstreamReport:
+    return UpstreamReport(
         name="e1", address=address, state="leaving", ttl_ms=ttl_ms
     )
 
 
 def test_notes_expire() -> None:
-    tables = [Notes() for _ in range(3)]
+    tables = [UpstreamReports() for _ in range(3)]
     tables[0].add(note(), now_s=0.0)
     now_s, added = 0.0, 0
-    while now_s < 3 * NOTE_TTL_MS / 1_000:
+    while now_s < 3 * UPSTREAM_REPORT_TTL_MS / 1_000:
         for sender in tables:
             for receiver in tables:
                 for news in sender.changed_since(0, now_s):
@@ -157,24 +162,24 @@
 
 
 def test_a_note_is_for_one_incarnation_and_applied_once() -> None:
-    notes = Notes()
+    notes = UpstreamReports()
     notes.add(note(address="a:1"), now_s=0.0)
     assert notes.to_apply({"e1": "a:2"}.__getitem__) == []
     assert notes.to_apply({"e1": "a:1"}.__getitem__) == [note()]
     assert notes.to_apply({"e1": "a:1"}.__getitem__) == []
-    assert not notes.add(note(ttl_ms=NOTE_TTL_MS - 10), now_s=1.0)
+    assert not notes.add(note(ttl_ms=UPSTREAM_REPORT_TTL_MS - 10), now_s=1.0)
     assert notes.add(note(), now_s=20.0)
 
 
 def test_notes_of_live_upstreams_are_ignored() -> None:
-    notes = Notes()
+    notes = UpstreamReports()
     assert not notes.add(
         msgspec.structs.replace(note(), state="live"), now_s=0.0
     )
 
 
 def test_a_note_added_each_second_is_renewed_occasionally() -> None:
-    notes = Notes()
+    notes = UpstreamReports()
     news = sum(notes.add(note(), float(now_s)) for now_s in range(60))
     assert news == 4
     assert notes.changed_since(0, 60.0)
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -257,7 +257,7 @@
     world: RelayWorld, stand_ins: list[ReplicaStandIn]
 ) -> None:
     counts = {"model-0/failing": 2, "model-0/trial": 2}
-    world.peers._load.heard.take("another", counts, full=True)
+    world.peers._load.peer_counts.update("another", counts, full=True)
     behave(stand_ins, stream)
     await world.call("/draft/1", headers=USAGE)
 
--- a/tests/test_relay_fill_limit.py
+++ b/tests/test_relay_fill_limit.py
@@ -45,7 +45,7 @@
     def set_in_flight(self, upstream: str, n: int) -> None:
         pass
 
-    def tell_counts(self) -> None:
+    def send_counts(self) -> None:
         pass
 
     counts_basis: CountsBasis = "heard"
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -25,9 +25,13 @@
     RecordSources,
     SharedRecords,
 )
-from balsamlift.peers._gathering import ANSWER_MS, Gathering, GatheringHost
+from balsamlift.peers._aggregation import (
+    ANSWER_TIMEOUT_MS,
+    AggregatorHost,
+    CountsAggregation,
+)
 from balsamlift.peers._host_ranks import is_reader, rank_hosts
-from balsamlift.peers._membership import READERS_OF_MANY
+from balsamlift.peers._membership import RECORD_READERS
 from balsamlift.peers._messages import CountsSums, CountsUpdate
 from balsamlift.peers._shared_records import is_too_large_to_send
 from balsamlift.platform._decode import decode_evacuations
@@ -160,20 +164,20 @@
             raise StoreError("refused")
 
 
-class HostGathering(Gathering):
+class HostGathering(CountsAggregation):
     """Call other hosts of the test directly instead of over sockets."""
 
     hosts_by_name: dict[str, "Host"]
 
     async def _ask(
-        self, found: GatheringHost, update: CountsUpdate
+        self, found: AggregatorHost, update: CountsUpdate
     ) -> CountsSums | None:
         await asyncio.sleep(CALL_S)
         asked = self.hosts_by_name[found.host]
         if not asked.is_up:
-            await asyncio.sleep(ANSWER_MS / 1_000)
+            await asyncio.sleep(ANSWER_TIMEOUT_MS / 1_000)
             return None
-        return asked.gathering._gatherer.take(update)
+        return asked.gathering._aggregator.handle_update(update)
 
 
 class Copy:
@@ -244,7 +248,7 @@
 
     def _reads(self, cluster: "Cluster") -> bool:
         others = {each.host for each in cluster.others(self.name)}
-        is_ranked = is_reader(self.name, others, READERS_OF_MANY)
+        is_ranked = is_reader(self.name, others, RECORD_READERS)
         return is_ranked or self.records.has_recent_requests
 
     async def follow_configuration(self) -> None:
@@ -287,10 +291,10 @@
         for n in range(number):
             self.hosts[f"h{n}"] = Host(f"h{n}", self)
 
-    def others(self, own: str) -> list[GatheringHost]:
+    def others(self, own: str) -> list[AggregatorHost]:
         now_s = asyncio.get_running_loop().time()
         return [
-            GatheringHost(name, name)
+            AggregatorHost(name, name)
             for name in self.hosts
             if name != own and now_s - self._killed_s.get(name, now_s) < DEAD_S
         ]
@@ -310,7 +314,7 @@
 
     async def _gather(self, host: Host, phase_s: float) -> None:
         await asyncio.sleep(phase_s)
-        await host.gathering._keep_telling()
+        await host.gathering._keep_sending()
 
     def kill(self, name: str) -> None:
         self.hosts[name].is_up = False
@@ -389,7 +393,7 @@
 
 
 def readers_killed(cluster: Cluster) -> None:
-    for name in cluster.ranked()[:READERS_OF_MANY]:
+    for name in cluster.ranked()[:RECORD_READERS]:
         cluster.kill(name)
 
 
@@ -399,7 +403,7 @@
 
 
 def readers_cut_off(cluster: Cluster) -> None:
-    cluster.store.unanswered = frozenset(cluster.ranked()[:READERS_OF_MANY])
+    cluster.store.unanswered = frozenset(cluster.ranked()[:RECORD_READERS])
 
 
 def third_refused(cluster: Cluster) -> None:
