--- a/src/balsamlift/presets/__init__.py
+++ b/src/balsamlift/presets/__init__.py
@@ -1,4 +1,4 @@
-"""Presets, published and switched on the platform's log."""
+"""Presets, published and activated through the platform's log."""
 
 from balsamlift.presets._check import check_pools, check_preset
 from balsamlift.presets._claimant import ClaimResult
--- a/src/balsamlift/presets/_check.py
+++ b/src/balsamlift/presets/_check.py
@@ -1,4 +1,4 @@
-"""Check a preset as a whole."""
+"""Validate a preset as a whole, beyond the checks of single fields."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def check_preset(obj: object, file: str = "") -> Preset:
-    """Return the preset that plain data, or a `Preset`, describes.
+    """Return a validated preset from plain data or from a `Preset`.
 
-    The answer depends on `obj` alone, so that every reader of the log
-    judges a record alike. Raises `SettingsError`.
+    The result depends on `obj` alone, so that every reader of the log
+    accepts or rejects the same records. Raises `SettingsError`.
     """
     preset = obj if isinstance(obj, Preset) else structure(obj, Preset, file)
     used = {kind.pool for kind in preset.kinds.values()}
@@ -23,7 +23,8 @@
             raise SettingsError(
                 file or preset.name,
                 f"pools.{pool}",
-                "a pool that a kind uses; they use " + ", ".join(sorted(used)),
+                "a pool that a kind uses; kinds use: "
+                + ", ".join(sorted(used)),
             )
     return preset
 
@@ -31,10 +32,11 @@
 def check_pools(
     preset: Preset, pools: Mapping[str, PoolSettings], file: str = ""
 ) -> None:
-    """Check a preset against the pools that the settings describe.
+    """Check a preset against the pools defined in the settings.
 
-    Only for operators before they publish: hosts may differ in their
-    settings for a while. Raises `SettingsError`.
+    Only operators call this, before they publish: the settings of hosts may
+    differ for a while, so readers of the log must not depend on them.
+    Raises `SettingsError`.
     """
     name = file or preset.name
     for kind, served in preset.kinds.items():
@@ -42,13 +44,15 @@
         if settings is None:
             known = ", ".join(sorted(pools))
             raise SettingsError(
-                name, f"kinds.{kind}.pool", f"a pool of the settings: {known}"
+                name,
+                f"kinds.{kind}.pool",
+                f"a pool defined in the settings: {known}",
             )
         if settings.kind == "engine" and served.pool not in preset.pools:
             raise SettingsError(
                 name,
                 f"pools.{served.pool}",
-                "a model and a version, for its upstreams are engines",
+                "a model and a version, as its upstreams are engines",
             )
     for pool in preset.pools:
         if pools[pool].kind != "engine":
--- a/src/balsamlift/presets/_checkpointer.py
+++ b/src/balsamlift/presets/_checkpointer.py
@@ -1,4 +1,4 @@
-"""Repeat the state on the log before its records expire."""
+"""Append checkpoints of the state before the log's records expire."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 log = logger.bind(part="presets")
 
 CHECKPOINTS_PER_RETENTION = 4
-PRESSING_SHARE = 0.25  # of the retained offsets, from the earliest on
-PRESSING_S = 2.0
+URGENT_SHARE = 0.25  # of the retained offsets, counted from the earliest
+MAX_URGENT_DELAY_S = 2.0
 
 
 class Checkpointer:
-    """Append a checkpoint when the newest one grows old.
+    """Append a checkpoint when the newest one on the log is too old.
 
-    Each host waits a random time from the newest checkpoint that it has
-    read, so that mostly the first of them appends for all. Duplicates
-    and stale checkpoints do no harm.
+    Each host waits for a random delay after the newest checkpoint that it
+    has read, so that usually a single host appends on behalf of all.
+    Duplicate and stale checkpoints are harmless.
     """
 
     def __init__(
@@ -38,24 +38,27 @@
         rng: random.Random,
         retention_ms: int,
     ) -> None:
-        """`retention_ms` is how long the log keeps a record at least."""
+        """Schedule the first checkpoint.
+
+        `retention_ms` is the minimum time for which the log keeps a record.
+        """
         self._log = client
         self._timeline = timeline
         self._clock = clock
         self._rng = rng
-        self._every_s = retention_ms / 1_000 / CHECKPOINTS_PER_RETENTION
+        self._interval_s = retention_ms / 1_000 / CHECKPOINTS_PER_RETENTION
         self._seen_offset = -1
-        self._due_s = clock.monotonic() + rng.uniform(0.0, self._every_s)
-        self._pressing = False
+        self._due_s = clock.monotonic() + rng.uniform(0.0, self._interval_s)
+        self._is_urgent = False
         self._task: asyncio.Task[None] | None = None
 
-    def consider(self, reader: Reader) -> None:
-        """Begin to append a checkpoint of the reader's state if it is due.
+    def append_if_due(self, reader: Reader) -> None:
+        """Start appending a checkpoint of the reader's state if one is due.
 
-        To be called after each step of a reader that follows the log.
+        To be called after each poll of a reader that is up to date.
         """
-        self._postpone_after_newer(reader)
-        self._hurry_when_pressing(reader)
+        self._postpone_after_newer_checkpoint(reader)
+        self._advance_when_urgent(reader)
         running = self._task is not None and not self._task.done()
         is_due = self._clock.monotonic() >= self._due_s
         if not is_due or running or not reader.state.presets:
@@ -67,42 +70,45 @@
         )
 
     async def stop(self) -> None:
-        """End an append that is under way; it may still take effect."""
+        """Cancel an append in progress; it may still take effect."""
         if self._task is None:
             return
         self._task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await self._task
 
-    def _postpone_after_newer(self, reader: Reader) -> None:
+    def _postpone_after_newer_checkpoint(self, reader: Reader) -> None:
         newest = reader.state.checkpoint
         if newest is not None and newest.offset > self._seen_offset:
             self._seen_offset = newest.offset
             self._due_s = self._next_due_s()
-            self._pressing = False
+            self._is_urgent = False
 
-    def _hurry_when_pressing(self, reader: Reader) -> None:
-        """Bring the due time forward when records expire early."""
+    def _advance_when_urgent(self, reader: Reader) -> None:
+        """Bring the due time forward when records expire ahead of schedule."""
         newest = reader.state.checkpoint
-        if newest is None or self._pressing:
+        if newest is None or self._is_urgent:
             return
         retained = reader.state.offset - reader.earliest
-        left = newest.covers_offset - reader.earliest
-        if left < retained * PRESSING_SHARE:
-            self._pressing = True
-            hurried_s = self._rng.uniform(0.0, PRESSING_S)
-            self._due_s = min(self._due_s, self._clock.monotonic() + hurried_s)
+        margin = newest.covers_offset - reader.earliest
+        if margin < retained * URGENT_SHARE:
+            self._is_urgent = True
+            delay_s = self._rng.uniform(0.0, MAX_URGENT_DELAY_S)
+            self._due_s = min(self._due_s, self._clock.monotonic() + delay_s)
 
     def _next_due_s(self) -> float:
         share = self._rng.uniform(0.5, 1.0)
-        return self._clock.monotonic() + self._every_s * share
+        return self._clock.monotonic() + self._interval_s * share
 
     async def _append(self, checkpoint: Checkpoint) -> None:
         try:
             await self._log.append([checkpoint])
         except LogUnavailableError as error:
-            log.warning("Checkpoint not appended: {}.", error)
+            log.warning("Could not append a checkpoint: {}.", error)
             return
         covers = checkpoint.covers_offset
-        log.info("Appended a checkpoint that covers offset {}.", covers)
+        log.info(
+            "Appended a checkpoint covering all records before offset {}.",
+            covers,
+        )
         self._timeline.record("checkpoint", covers_offset=covers)
--- a/src/balsamlift/presets/_fold.py
+++ b/src/balsamlift/presets/_fold.py
@@ -1,4 +1,4 @@
-"""The fold of the log: the same records give the same state anywhere."""
+"""Fold log entries into a state, deterministically on every reader."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 )
 from balsamlift.presets._state import (
     Change,
-    CheckpointSeen,
+    CheckpointReference,
     FoldState,
     InForce,
     LeaseInForce,
     Outcome,
-    Published,
+    PublishedPreset,
     Verdict,
 )
 
-# Every reader must use the same bounds.
-OUTCOMES_KEPT = 1_024
-HISTORY_KEPT = 256
-PRESETS_KEPT = 64
+# Every reader must use the same limits to arrive at the same state.
+MAX_OUTCOMES = 1_024
+MAX_HISTORY_ENTRIES = 256
+MAX_PRESETS = 64
 
 
 def fold(state: FoldState, entry: Entry) -> None:
-    """Take the next entry into `state`; ignore one taken already.
+    """Apply the next entry to `state`; ignore one that was applied before.
 
-    Raises `OffsetGapError` when an entry before it is missing.
+    Raises `OffsetGapError` when entries before this one are missing.
     """
     if entry.offset < state.offset:
         return
@@ -40,49 +40,57 @@
     state.time_ms = max(state.time_ms, entry.at_ms)
     match entry.record:
         case Publish() as publish:
-            _publish(state, entry.offset, publish)
+            _apply_publish(state, entry.offset, publish)
         case Switch() as switch:
-            _switch(state, entry.offset, switch)
+            _apply_switch(state, entry.offset, switch)
         case Lease() as lease:
-            _lease(state, entry.offset, lease)
+            _apply_lease(state, entry.offset, lease)
         case Checkpoint() as checkpoint:
-            _checkpoint(state, entry.offset, checkpoint)
+            _apply_checkpoint(state, entry.offset, checkpoint)
 
 
-def fits(checkpoint: Checkpoint, offset: int) -> bool:
-    """Return whether a checkpoint found at `offset` agrees with itself."""
+def is_consistent(checkpoint: Checkpoint, offset: int) -> bool:
+    """Return whether the offsets of a checkpoint agree.
+
+    Its state must end at `covers_offset`, and it cannot cover records that
+    come after `offset`, at which it was found.
+    """
     covers = checkpoint.covers_offset
     return covers == checkpoint.state.offset and covers <= offset
 
 
-def _publish(state: FoldState, offset: int, publish: Publish) -> None:
+def _apply_publish(state: FoldState, offset: int, publish: Publish) -> None:
     if publish.op in state.outcomes:
         return
     if publish.name != publish.body.name:
-        _conclude(state, offset, publish.op, "invalid")
+        _record_outcome(state, offset, publish.op, "invalid")
         return
-    before = state.presets.pop(publish.name, None)
-    version = before.version + 1 if before else 1
-    state.presets[publish.name] = Published(version, offset, publish.body)
-    if len(state.presets) > PRESETS_KEPT:
+    previous = state.presets.pop(publish.name, None)
+    version = previous.version + 1 if previous else 1
+    state.presets[publish.name] = PublishedPreset(
+        version, offset, publish.body
+    )
+    if len(state.presets) > MAX_PRESETS:
         del state.presets[next(iter(state.presets))]
-    _conclude(state, offset, publish.op, "accepted")
+    _record_outcome(state, offset, publish.op, "accepted")
 
 
-def _switch(state: FoldState, offset: int, switch: Switch) -> None:
+def _apply_switch(state: FoldState, offset: int, switch: Switch) -> None:
     if switch.op in state.outcomes:
         return
     published = state.presets.get(switch.name)
     if switch.expected_generation != state.generation:
-        _conclude(state, offset, switch.op, "superseded")
+        _record_outcome(state, offset, switch.op, "superseded")
     elif published is None:
-        _conclude(state, offset, switch.op, "invalid")
+        _record_outcome(state, offset, switch.op, "invalid")
     else:
         _put_in_force(state, offset, published)
-        _conclude(state, offset, switch.op, "accepted")
+        _record_outcome(state, offset, switch.op, "accepted")
 
 
-def _put_in_force(state: FoldState, offset: int, published: Published) -> None:
+def _put_in_force(
+    state: FoldState, offset: int, published: PublishedPreset
+) -> None:
     name = published.preset.name
     generation = state.generation + 1
     version = published.version
@@ -91,26 +99,28 @@
     )
     change = Change(generation, name, version, offset, state.time_ms)
     state.history.append(change)
-    del state.history[:-HISTORY_KEPT]
+    del state.history[:-MAX_HISTORY_ENTRIES]
 
 
-def _lease(state: FoldState, offset: int, lease: Lease) -> None:
+def _apply_lease(state: FoldState, offset: int, lease: Lease) -> None:
     in_force = state.lease.offset if state.lease else 0
     if lease.previous_offset == in_force and offset > 0:
         state.lease = LeaseInForce(offset, lease.holder, lease.term_ms)
 
 
-def _checkpoint(state: FoldState, offset: int, checkpoint: Checkpoint) -> None:
-    """Remember it; the state is never set back to what it holds."""
+def _apply_checkpoint(
+    state: FoldState, offset: int, checkpoint: Checkpoint
+) -> None:
+    """Note a checkpoint; the state is never reset to its content."""
     covers = checkpoint.covers_offset
     newest = state.checkpoint.covers_offset if state.checkpoint else 0
-    if fits(checkpoint, offset) and covers > newest:
-        state.checkpoint = CheckpointSeen(offset, covers)
+    if is_consistent(checkpoint, offset) and covers > newest:
+        state.checkpoint = CheckpointReference(offset, covers)
 
 
-def _conclude(
+def _record_outcome(
     state: FoldState, offset: int, op: str, verdict: Verdict
 ) -> None:
     state.outcomes[op] = Outcome(verdict, offset, state.generation)
-    if len(state.outcomes) > OUTCOMES_KEPT:
+    if len(state.outcomes) > MAX_OUTCOMES:
         del state.outcomes[next(iter(state.outcomes))]
--- a/src/balsamlift/presets/_log.py
+++ b/src/balsamlift/presets/_log.py
@@ -1,4 +1,4 @@
-"""The client of the platform's append-only log."""
+"""A client for the platform's append-only log."""
 
 from __future__ import annotations
 
@@ -17,28 +17,29 @@
 from balsamlift.clock import Clock
 from balsamlift.exceptions import LogBlockedError, LogUnavailableError
 from balsamlift.kernel import Kernel
+from balsamlift.presets._adaptive_timeout import AdaptiveTimeout
 from balsamlift.presets._records import (
     Entry,
     Record,
     decode_record,
     encode_record,
 )
-from balsamlift.presets._silence import SilenceBound
 
 log = logger.bind(part="log")
 
 APPEND_LIMIT = 256  # records in one call
 READ_LIMIT = 1_000
-APPEND_TRIES = 5  # while the log says that its rate is reached
+MAX_APPEND_ATTEMPTS = 5  # when the log reports that its rate limit is reached
 TOO_MANY_REQUESTS = 429
 OK = 200
 
 
 @attrs.frozen
 class Batch:
-    """Hold consecutive entries of the log.
+    """Hold the consecutive entries that one read returned.
 
-    `earliest` is the first offset retained, `next` the one to read on from.
+    `earliest` is the first offset still retained, `next` the offset at which
+    the next read starts.
     """
 
     earliest: int
@@ -63,15 +64,15 @@
 
 
 @attrs.define(eq=False)
-class _Waiting:
-    """Hold the records of one caller until they are appended."""
+class _PendingAppend:
+    """Hold the records of one `append` call until they are appended."""
 
     records: list[bytes]
     done: asyncio.Future[list[int]]
 
 
 class LogClient:
-    """Append to the log and read it, each call with a bound on silence."""
+    """Append to the log and read it, with an adaptive timeout per call."""
 
     name = "log"
 
@@ -83,156 +84,167 @@
         http: HttpClient,
         rng: random.Random | None = None,
     ) -> None:
-        """Keep the address "IP:port"; `rng` gives the jitter."""
+        """Set up a client that is not started yet.
+
+        `address` is "IP:port", `silence_ms` the least time without data
+        after which a call fails; `rng` randomizes the retry delay.
+        """
         self._url = f"http://{address}/v1/log"
-        self._append_silence = SilenceBound(silence_ms)
-        self._read_silence = SilenceBound(silence_ms)
+        self._append_timeout = AdaptiveTimeout(silence_ms)
+        self._read_timeout = AdaptiveTimeout(silence_ms)
         self._clock = clock
         self._http = http
         self._back_off = BackOff(rng)
-        self._queue: asyncio.Queue[_Waiting] = asyncio.Queue()
+        self._queue: asyncio.Queue[_PendingAppend] = asyncio.Queue()
         self._blocked_until = 0.0
         self._task: asyncio.Task[None] | None = None
 
     @property
     def retry_after_ms(self) -> int:
-        """Return when a new append makes sense; 0 when one does now."""
+        """Return the time until appends are tried again; 0 if now."""
         left_s = self._blocked_until - self._clock.monotonic()
         return max(int(left_s * 1_000), 0)
 
     async def start(self, kernel: Kernel | None = None) -> None:
-        """Begin the one task that appends."""
+        """Start the only task that sends appends."""
         del kernel
-        self._task = asyncio.create_task(self._append_all())
+        self._task = asyncio.create_task(self._append_pending())
 
     async def stop(self) -> None:
-        """End the task; appends that wait fail."""
+        """Stop the task; pending appends fail."""
         if self._task is None:
             return
         self._task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await self._task
         while not self._queue.empty():
-            left = [self._queue.get_nowait()]
-            _fail(left, LogUnavailableError("the log client stopped"))
+            stranded = [self._queue.get_nowait()]
+            _fail(stranded, LogUnavailableError("the log client stopped"))
 
     async def append(self, records: Sequence[Record]) -> list[int]:
         """Append records and return their offsets.
 
-        Callers that wait at the same time share one call. Raises
-        `LogUnavailableError` when the answer is lost: only reading on
-        tells whether the records are on the log. Raises its subclass
-        `LogBlockedError` when they certainly are not.
+        Concurrent callers share one HTTP call. Raises `LogUnavailableError`
+        when the answer was lost: only reading the log shows whether the
+        records were appended. Raises its subclass `LogBlockedError` when
+        they certainly were not.
         """
         if self.retry_after_ms > 0:
-            raise self._blocked()
+            raise self._blocked_error()
         done = asyncio.get_running_loop().create_future()
         encoded = [encode_record(record) for record in records]
-        self._queue.put_nowait(_Waiting(encoded, done))
+        self._queue.put_nowait(_PendingAppend(encoded, done))
         offsets: list[int] = await done
         return offsets
 
     async def read(
         self, offset: int, wait_ms: int = 0, limit: int = READ_LIMIT
     ) -> Batch:
-        """Return the entries from `offset` on; wait for the first of them.
+        """Return the entries from `offset` on.
 
-        Raises `LogUnavailableError`.
+        Waits up to `wait_ms` for the first of them. Raises
+        `LogUnavailableError`.
         """
         query = f"from={offset}&limit={limit}&wait_ms={wait_ms}"
-        silence = self._read_silence
+        timeout = self._read_timeout
         began_s = self._clock.monotonic()
         try:
             answer = await self._http.read(
                 f"{self._url}/read?{query}",
                 StallLimits(
-                    first_byte_ms=wait_ms + silence.bound_ms,
-                    silence_ms=silence.bound_ms,
+                    first_byte_ms=wait_ms + timeout.timeout_ms,
+                    silence_ms=timeout.timeout_ms,
                 ),
-                connect_ms=silence.bound_ms,
-                fresh=silence.was_reached,
+                connect_ms=timeout.timeout_ms,
+                fresh=timeout.last_call_failed,
             )
         except CallError as error:
-            silence.reached()
+            timeout.record_failure()
             raise LogUnavailableError(str(error)) from error
         took_s = self._clock.monotonic() - began_s
-        silence.answered(int(took_s * 1_000) - wait_ms)
+        timeout.record_answer(int(took_s * 1_000) - wait_ms)
         return _decode_batch(answer)
 
-    async def _append_all(self) -> None:
+    async def _append_pending(self) -> None:
         while True:
-            waiting = [await self._queue.get()]
+            pending = [await self._queue.get()]
             try:
-                offsets = await self._append_joined(waiting)
+                offsets = await self._append_batch(pending)
             except LogUnavailableError as error:
-                _fail(waiting, error)
+                _fail(pending, error)
             except asyncio.CancelledError:
-                _fail(waiting, LogUnavailableError("the log client stopped"))
+                _fail(pending, LogUnavailableError("the log client stopped"))
                 raise
             else:
-                _succeed(waiting, offsets)
+                _succeed(pending, offsets)
 
-    def _drain(self, waiting: list[_Waiting]) -> None:
-        count = sum(len(one.records) for one in waiting)
+    def _collect_pending(self, pending: list[_PendingAppend]) -> None:
+        count = sum(len(one.records) for one in pending)
         while not self._queue.empty() and count < APPEND_LIMIT:
             one = self._queue.get_nowait()
-            waiting.append(one)
+            pending.append(one)
             count += len(one.records)
 
-    async def _append_joined(self, waiting: list[_Waiting]) -> list[int]:
-        """Append for all in `waiting`, again only when certainly not done."""
-        for _ in range(APPEND_TRIES):
-            self._drain(waiting)
-            answer = await self._call_append(waiting)
+    async def _append_batch(self, pending: list[_PendingAppend]) -> list[int]:
+        """Append the records of all `pending` calls in one HTTP call.
+
+        It is repeated only after an answer that says that nothing was
+        appended (429), so that no record is appended twice.
+        """
+        for _ in range(MAX_APPEND_ATTEMPTS):
+            self._collect_pending(pending)
+            answer = await self._post_append(pending)
             if answer.status != TOO_MANY_REQUESTS:
-                return self._take_offsets(answer, waiting)
+                return self._decode_offsets(answer, pending)
             delay_s = self._back_off.failed(_retry_after_ms(answer))
-            log.info("Over the rate; next append in {:.1f} s.", delay_s)
+            log.info(
+                "Append rate limit reached, retrying in {:.1f} s.", delay_s
+            )
             await self._clock.sleep(delay_s)
-        raise self._blocked()
+        raise self._blocked_error()
 
-    async def _call_append(self, waiting: list[_Waiting]) -> Answer:
-        records = [record for one in waiting for record in one.records]
-        silence = self._append_silence
+    async def _post_append(self, pending: list[_PendingAppend]) -> Answer:
+        records = [record for one in pending for record in one.records]
+        timeout = self._append_timeout
         began_s = self._clock.monotonic()
         try:
             answer = await self._http.call(
                 "POST",
                 f"{self._url}/append",
                 b'{"records":[' + b",".join(records) + b"]}",
-                timeout_ms=silence.bound_ms,
-                connect_ms=silence.bound_ms,
+                timeout_ms=timeout.timeout_ms,
+                connect_ms=timeout.timeout_ms,
                 headers={"Content-Type": "application/json"},
-                fresh=silence.was_reached,
+                fresh=timeout.last_call_failed,
             )
         except CallError as error:
-            silence.reached()
+            timeout.record_failure()
             self._block(0.0)
             raise LogUnavailableError(str(error)) from error
         took_s = self._clock.monotonic() - began_s
-        silence.answered(int(took_s * 1_000))
+        timeout.record_answer(int(took_s * 1_000))
         return answer
 
-    def _take_offsets(
-        self, answer: Answer, waiting: list[_Waiting]
+    def _decode_offsets(
+        self, answer: Answer, pending: list[_PendingAppend]
     ) -> list[int]:
-        wanted = sum(len(one.records) for one in waiting)
+        expected = sum(len(one.records) for one in pending)
         try:
             if answer.status == OK:
                 offsets = answer.decode(_AppendAnswer).offsets
-                if len(offsets) == wanted:
+                if len(offsets) == expected:
                     self._back_off.succeeded()
                     return offsets
         except msgspec.MsgspecError as error:
-            log.warning("Append answered no JSON: {}", error)
+            log.warning("Append returned a malformed answer: {}", error)
         self._block(_retry_after_ms(answer))
-        raise LogUnavailableError(f"append answered {answer.status}")
+        raise LogUnavailableError(f"append returned status {answer.status}")
 
     def _block(self, at_least_ms: float) -> None:
         delay_s = self._back_off.failed(at_least_ms)
         self._blocked_until = self._clock.monotonic() + delay_s
 
-    def _blocked(self) -> LogBlockedError:
+    def _blocked_error(self) -> LogBlockedError:
         return LogBlockedError(max(self.retry_after_ms, 1))
 
 
@@ -245,11 +257,13 @@
 
 def _decode_batch(answer: Answer) -> Batch:
     if answer.status != OK:
-        raise LogUnavailableError(f"read answered {answer.status}")
+        raise LogUnavailableError(f"read returned status {answer.status}")
     try:
         raw = answer.decode(_ReadAnswer)
     except msgspec.MsgspecError as error:
-        raise LogUnavailableError(f"read answered: {error}") from error
+        raise LogUnavailableError(
+            f"read returned a malformed answer: {error}"
+        ) from error
     entries = [
         Entry(one.offset, one.at_ms, decode_record(one.record))
         for one in raw.records
@@ -257,15 +271,15 @@
     return Batch(raw.earliest, raw.next, entries)
 
 
-def _fail(waiting: list[_Waiting], error: LogUnavailableError) -> None:
-    for one in waiting:
+def _fail(pending: list[_PendingAppend], error: LogUnavailableError) -> None:
+    for one in pending:
         if not one.done.done():
             one.done.set_exception(error)
 
 
-def _succeed(waiting: list[_Waiting], offsets: list[int]) -> None:
+def _succeed(pending: list[_PendingAppend], offsets: list[int]) -> None:
     start = 0
-    for one in waiting:
+    for one in pending:
         end = start + len(one.records)
         if not one.done.done():
             one.done.set_result(offsets[start:end])
--- a/src/balsamlift/presets/_operator.py
+++ b/src/balsamlift/presets/_operator.py
@@ -1,4 +1,7 @@
-"""Publish and switch presets, and tell truthfully what became of it."""
+"""Publish presets and switch between them, on behalf of operators.
+
+The outcome of an operation is read back from the log.
+"""
 
 from __future__ import annotations
 
@@ -30,30 +33,31 @@
 READ_WAIT_MS = 1_000
 WAIT_MS = 15_000
 
-State = Literal["accepted", "superseded", "unknown", "invalid"]
+OperationState = Literal["accepted", "superseded", "unknown", "invalid"]
 
 
 @attrs.frozen
 class OperationResult:
-    """Tell what became of an operation, as every reader of the log sees it.
+    """Hold the outcome of an operation, the same for all readers of the log.
 
-    "unknown": its record was not seen on the log in time; it may still
-    turn up, `Operator.outcome` tells. `generation` is the one in force
-    just after the record, `offset` where that lies; None where unknown.
+    "unknown" means that the record was not seen on the log in time; it may
+    still appear, which `Operator.outcome` shows. `generation` is the one in
+    force just after the record, `offset` the position of the record; both
+    are None if unknown.
     """
 
     op: str
-    state: State
+    state: OperationState
     generation: int | None
     offset: int | None
 
 
 class Operator:
-    """Act on the log as an operator; each call reads the log afresh.
+    """Run operations on the log; each call reads the log from its start.
 
-    Every call raises `LogUnreadableError` when the log gave no whole state
-    within `wait_ms`, and `LogBlockedError` when it took no append: nothing
-    was changed then.
+    Every call raises `LogUnreadableError` when no complete state could be
+    read within `wait_ms`, and `LogBlockedError` when the log accepted no
+    append. In both cases nothing was changed.
     """
 
     def __init__(
@@ -64,14 +68,19 @@
         silence_ms: int = SILENCE_MS,
         wait_ms: int = WAIT_MS,
     ) -> None:
-        """`log_address` is "IP:port"."""
+        """Set the log's address, "IP:port", and the limits of each call.
+
+        `silence_ms` is the least time without data after which a call to
+        the log fails, `wait_ms` the time to read up to the end of the log,
+        and again to read back an appended record.
+        """
         self._address = log_address
         self._clock = clock or SystemClock()
         self._silence_ms = silence_ms
         self._wait_ms = wait_ms
 
     async def publish(self, preset: Preset) -> OperationResult:
-        """Make a preset known under its name."""
+        """Publish a preset under its name, without putting it in force."""
         async with self._session() as session:
             await session.catch_up()
             record = Publish(new_operation(), preset.name, preset)
@@ -82,8 +91,8 @@
     ) -> OperationResult:
         """Put a published preset in force.
 
-        Only while `expected_generation` is in force; None stands for the
-        generation in force when the call begins.
+        The switch is accepted only while `expected_generation` is in force;
+        None stands for the generation in force when the call begins.
         """
         async with self._session() as session:
             state = await session.catch_up()
@@ -99,10 +108,10 @@
             return await session.catch_up()
 
     async def outcome(self, op: str) -> OperationResult:
-        """Return what became of an earlier operation."""
+        """Return the outcome of an earlier operation."""
         async with self._session() as session:
             state = await session.catch_up()
-            return _result(op, state.outcomes.get(op))
+            return _build_result(op, state.outcomes.get(op))
 
     @asynccontextmanager
     async def _session(self) -> AsyncIterator[_Session]:
@@ -117,7 +126,7 @@
 
 
 class _Session:
-    """Read and append within one call of an operator."""
+    """Read and append within one call of `Operator`."""
 
     def __init__(self, client: LogClient, clock: Clock, wait_ms: int) -> None:
         self._log = client
@@ -127,13 +136,13 @@
         self._back_off = BackOff()
 
     async def catch_up(self) -> FoldState:
-        """Read to the end of the log."""
-        error = LogUnreadableError("the log lacks a usable checkpoint")
+        """Read up to the end of the log and return the state."""
+        error = LogUnreadableError("the log has no usable checkpoint")
         deadline_s = self._clock.monotonic() + self._wait_s
         while self._clock.monotonic() < deadline_s:
-            failed = await self._step(0)
+            failed = await self._poll(0)
             error = failed or error
-            if failed is None and self._reader.follows:
+            if failed is None and self._reader.is_up_to_date:
                 return self._reader.state
             if self._reader.scanning and self._reader.at_end:
                 await self._clock.sleep(self._back_off.failed())
@@ -142,7 +151,8 @@
     async def append(self, record: Publish | Switch) -> OperationResult:
         """Append once, then read on until the record is folded.
 
-        A lost answer is never answered by a second append.
+        A lost answer never causes a second append, as the first may have
+        taken effect.
         """
         offset: int | None = None
         try:
@@ -150,9 +160,14 @@
         except LogBlockedError:
             raise
         except LogUnavailableError as error:
-            log.info("Append unanswered, reading on: {}.", error)
+            log.info(
+                "Append not confirmed, reading the log for its outcome: {}.",
+                error,
+            )
         await self._read_until_folded(record.op, offset)
-        return _result(record.op, self._reader.state.outcomes.get(record.op))
+        return _build_result(
+            record.op, self._reader.state.outcomes.get(record.op)
+        )
 
     async def _read_until_folded(self, op: str, offset: int | None) -> None:
         deadline_s = self._clock.monotonic() + self._wait_s
@@ -161,12 +176,12 @@
                 return
             if self._clock.monotonic() >= deadline_s:
                 return
-            await self._step(READ_WAIT_MS)
+            await self._poll(READ_WAIT_MS)
 
-    async def _step(self, wait_ms: int) -> LogUnreadableError | None:
-        """Read once; after a failure wait a little and return why."""
+    async def _poll(self, wait_ms: int) -> LogUnreadableError | None:
+        """Read once; after a failure, back off and return the error."""
         try:
-            await self._reader.step(wait_ms)
+            await self._reader.poll(wait_ms)
         except (LogUnavailableError, OffsetGapError) as error:
             await self._clock.sleep(self._back_off.failed())
             return LogUnreadableError(error.message)
@@ -174,7 +189,7 @@
         return None
 
 
-def _result(op: str, outcome: Outcome | None) -> OperationResult:
+def _build_result(op: str, outcome: Outcome | None) -> OperationResult:
     if outcome is None:
         return OperationResult(op, "unknown", None, None)
     return OperationResult(
--- a/src/balsamlift/presets/_peer_folds.py
+++ b/src/balsamlift/presets/_peer_folds.py
@@ -1,4 +1,4 @@
-"""Pass the fold on between hosts while the log cannot be read."""
+"""Exchange the folded state between hosts while the log is unreadable."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 log = logger.bind(part="presets")
 
-PEERS_ASKED = 2
+MAX_PEERS_ASKED = 2
 SILENCE_MS = 1_000
 OK = 200
 NO_CONTENT = 204
@@ -39,28 +39,36 @@
 
 
 class PeerFolds:
-    """Fetch the folds of peers."""
+    """Fetch the folded state of the log from peers."""
 
     def __init__(
         self, kernel: Kernel, http: HttpClient, rng: random.Random
     ) -> None:
-        """Find the peers through the kernel each time, as it is needed."""
+        """Keep the kernel, in which each fetch looks up the peers.
+
+        The service of peers may be missing; then there are none.
+        """
         self._kernel = kernel
         self._http = http
         self._rng = rng
 
     async def fetch(self, offset: int) -> tuple[bool, FoldState | None]:
-        """Ask a few peers for a state further than `offset`.
+        """Ask a few peers for a state beyond `offset`.
 
-        Returns whether any answered, and the furthest state if any.
+        Returns whether any peer answered, and the most recent state if one
+        was sent.
         """
         answered = False
         furthest: FoldState | None = None
-        for peer in self._choose(offset):
+        for peer in self._select_peers(offset):
             try:
                 state = await self._ask(peer, offset)
             except (CallError, msgspec.MsgspecError, ValueError) as error:
-                log.info("Peer {} gave no fold: {}.", peer.host, error)
+                log.info(
+                    "Could not fetch the state of peer {}: {}.",
+                    peer.host,
+                    error,
+                )
                 continue
             answered = True
             if state is not None and state.offset > offset:
@@ -68,14 +76,14 @@
                 offset = state.offset
         return answered, furthest
 
-    def _choose(self, offset: int) -> list[_Peer]:
-        """Return a few peers, those that announced to be further first."""
-        peers = list(self._live())
+    def _select_peers(self, offset: int) -> list[_Peer]:
+        """Return a few random peers, preferring those beyond `offset`."""
+        peers = list(self._live_peers())
         self._rng.shuffle(peers)
         peers.sort(key=lambda peer: peer.offset <= offset)
-        return peers[:PEERS_ASKED]
+        return peers[:MAX_PEERS_ASKED]
 
-    def _live(self) -> Sequence[_Peer]:
+    def _live_peers(self) -> Sequence[_Peer]:
         try:
             peers = cast(_Peers, self._kernel.find("peers", object))
         except ServiceMissingError:
@@ -98,10 +106,13 @@
 
 
 def encode_fold(state: FoldState) -> bytes:
-    """Return a state as msgpack."""
+    """Return a state encoded as MessagePack."""
     return msgspec.msgpack.encode(state)
 
 
 def decode_fold(data: bytes) -> FoldState:
-    """Return the state that a peer sent; raise `msgspec` errors."""
+    """Return the state that a peer sent.
+
+    Raises `msgspec.MsgspecError` or `ValueError` for malformed data.
+    """
     return msgspec.msgpack.decode(data, type=FoldState)
--- a/src/balsamlift/presets/_preset.py
+++ b/src/balsamlift/presets/_preset.py
@@ -1,4 +1,4 @@
-"""A preset: all that operators set for one kind of day."""
+"""The configuration that operators publish as one named preset."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 ANY_WORKSPACE = "*"
 LOWEST_PRIORITY = 9
-MOST_KINDS = 1_000
-MOST_WORKSPACES = 100_000
-MOST_POOLS = 1_000
-MOST_ADAPTERS = 64
-MOST_TOKENS = 1_000_000
-LARGEST_WEIGHT = 1_000_000
+MAX_KINDS = 1_000
+MAX_WORKSPACES = 100_000
+MAX_POOLS = 1_000
+MAX_ADAPTERS = 64
+MAX_TOKENS = 1_000_000
+MAX_WEIGHT = 1_000_000
 
 
 @attrs.frozen(kw_only=True)
@@ -32,46 +32,46 @@
 
     pool: str = attrs.field(validator=plain_name)
     idempotent: bool = True
-    # 0 is served first.
+    # 0 is the highest priority.
     priority: int = attrs.field(
         default=1, validator=between(0, LOWEST_PRIORITY)
     )
     max_tokens: int = attrs.field(
-        default=4_096, validator=between(1, MOST_TOKENS)
+        default=4_096, validator=between(1, MAX_TOKENS)
     )
     deadline_ms: int = attrs.field(
         default=120_000, validator=between(10, DAY_MS)
     )
-    # Of the learned lengths, for admission.
+    # Quantile of the learned output lengths that admission uses.
     quantile: float = attrs.field(default=0.9, validator=inside(0, 1))
 
 
 @attrs.frozen(kw_only=True)
 class WorkspacePreset:
-    """Set what one workspace may use."""
+    """Set the share and the access token of one workspace."""
 
     weight: float = attrs.field(
         default=1.0,
-        validator=[above(0), between(0, LARGEST_WEIGHT)],
+        validator=[above(0), between(0, MAX_WEIGHT)],
     )
-    # Of the bearer token; when empty, none is asked for.
+    # Hash of the bearer token; if empty, no token is required.
     token_sha256: str = attrs.field(default="", validator=sha256_or_empty)
 
 
 def _check_adapters(
     _: PoolPreset, field: attrs.Attribute[list[str]], value: list[str]
 ) -> None:
-    if len(value) > MOST_ADAPTERS:
-        raise FieldError(field.name, f"at most {MOST_ADAPTERS} adapters")
+    if len(value) > MAX_ADAPTERS:
+        raise FieldError(field.name, f"at most {MAX_ADAPTERS} adapters")
     if len(set(value)) < len(value):
-        raise FieldError(field.name, "each adapter once")
+        raise FieldError(field.name, "each adapter at most once")
     for adapter in value:
         plain_name(None, field, adapter)
 
 
 @attrs.frozen(kw_only=True)
 class PoolPreset:
-    """Set what the engines of one pool shall have loaded."""
+    """Set which model and adapters the engines of one pool load."""
 
     model: str = attrs.field(validator=plain_name)
     version: str = attrs.field(validator=plain_name)
@@ -84,19 +84,19 @@
     field: attrs.Attribute[dict[str, PoolPreset]],
     value: dict[str, PoolPreset],
 ) -> None:
-    if value:  # a deployment of plain services has no engine pool
-        names(MOST_POOLS)(None, field, value)
+    if value:  # empty in a deployment without engine pools
+        names(MAX_POOLS)(None, field, value)
 
 
 @attrs.frozen(kw_only=True)
 class Preset:
-    """Hold one whole preset."""
+    """Hold a complete preset."""
 
     name: str = attrs.field(validator=plain_name)
-    kinds: dict[str, KindPreset] = attrs.field(validator=names(MOST_KINDS))
-    # ANY_WORKSPACE stands for those that are not named.
+    kinds: dict[str, KindPreset] = attrs.field(validator=names(MAX_KINDS))
+    # ANY_WORKSPACE applies to workspaces that are not listed.
     workspaces: dict[str, WorkspacePreset] = attrs.field(
-        validator=names(MOST_WORKSPACES, ANY_WORKSPACE)
+        validator=names(MAX_WORKSPACES, ANY_WORKSPACE)
     )
     pools: dict[str, PoolPreset] = attrs.field(
         factory=dict, validator=_check_pools
--- a/src/balsamlift/presets/_reader.py
+++ b/src/balsamlift/presets/_reader.py
@@ -1,91 +1,97 @@
-"""Follow the log and keep its fold."""
+"""Read the log and keep the state folded from it."""
 
 from __future__ import annotations
 
 from balsamlift.presets._claims import ClaimBounds, ClaimWindow
-from balsamlift.presets._fold import fits, fold
+from balsamlift.presets._fold import fold, is_consistent
 from balsamlift.presets._log import READ_LIMIT, LogClient
 from balsamlift.presets._records import Checkpoint, Entry
 from balsamlift.presets._state import FoldState
 
 
 class Reader:
-    """Read the log step by step and fold it.
+    """Poll the log and fold its entries into a state.
 
-    Where entries were missed (a newcomer, or a host paused for longer
-    than the log keeps them), it scans for a checkpoint that leaves no
-    entry out, and folds on from what that covers.
+    When entries were missed (by a new host, or by one that was paused for
+    longer than the log keeps them), it scans for a checkpoint after which
+    no entry is missing, restores that and continues from there.
     """
 
     def __init__(
         self, log: LogClient, bounds: ClaimBounds | None = None
     ) -> None:
-        """Begin with nothing read."""
+        """Start with an empty state at offset 0."""
         self.state = FoldState()
         self.claims = ClaimWindow(bounds or ClaimBounds())
         self.scanning = False
-        self.at_end = False  # of the log, by the last read
-        self.earliest = 0  # retained, by the last read
+        self.at_end = False  # of the log, as of the last read
+        self.earliest = 0  # retained offset, as of the last read
         self._log = log
-        self._next = 0
+        self._next_offset = 0
 
     @property
-    def follows(self) -> bool:
-        """Return whether all of the log was folded, by the last read."""
+    def is_up_to_date(self) -> bool:
+        """Return whether the state included the whole log at the last read."""
         return self.at_end and not self.scanning
 
-    async def step(self, wait_ms: int) -> None:
-        """Read once and fold; wait when there is nothing new.
+    async def poll(self, wait_ms: int) -> None:
+        """Read once and fold the entries.
 
-        Raises `LogUnavailableError`, and `OffsetGapError` when the answer
-        leaves out entries.
+        Waits up to `wait_ms` when there is nothing new. Raises
+        `LogUnavailableError`, and `OffsetGapError` when the answer omits
+        entries.
         """
-        batch = await self._log.read(self._next, wait_ms, READ_LIMIT)
+        batch = await self._log.read(self._next_offset, wait_ms, READ_LIMIT)
         self.earliest = batch.earliest
-        if batch.earliest > self._next:
+        if batch.earliest > self._next_offset:
             self._skip_to(batch.earliest)
         for entry in batch.entries:
-            if not self._take(entry):
+            if not self._process(entry):
                 break
-        at_last = self._next >= batch.next
-        self.at_end = at_last and len(batch.entries) < READ_LIMIT
+        read_all = self._next_offset >= batch.next
+        self.at_end = read_all and len(batch.entries) < READ_LIMIT
 
     def adopt(self, state: FoldState) -> bool:
-        """Take over a peer's state; return whether it was further.
+        """Adopt a peer's state if it is more recent; return whether it was.
 
-        The log is then read again from the earliest entry retained, for
-        the claims, which peers do not pass on.
+        The log is then read again from the earliest retained entry to
+        rebuild the claims, which peers do not exchange.
         """
         if state.offset <= self.state.offset:
             return False
         self.state = state
         self.scanning = False
-        self._next = 0
-        self.claims.interrupt()
+        self._next_offset = 0
+        self.claims.mark_gap()
         return True
 
     def _skip_to(self, earliest: int) -> None:
-        """Go on where the log begins; scan when the fold misses entries."""
-        self._next = earliest
-        self.claims.interrupt()
+        """Continue at the first retained entry.
+
+        Starts to scan for a checkpoint if the state lacks entries.
+        """
+        self._next_offset = earliest
+        self.claims.mark_gap()
         self.scanning = earliest > self.state.offset
 
-    def _take(self, entry: Entry) -> bool:
-        """Take the next entry; return whether to go on with the batch."""
+    def _process(self, entry: Entry) -> bool:
+        """Process the next entry; return whether to continue the batch."""
         if not self.scanning:
             fold(self.state, entry)
         self.claims.fold(entry)
-        self._next = entry.offset + 1
-        return not (self.scanning and self._start_from(entry))
+        self._next_offset = entry.offset + 1
+        return not (self.scanning and self._restore_from(entry))
 
-    def _start_from(self, entry: Entry) -> bool:
-        """Start from a checkpoint if no entry after it is missing."""
+    def _restore_from(self, entry: Entry) -> bool:
+        """Restore a checkpoint unless entries after it are missing."""
         found = entry.record
-        if not isinstance(found, Checkpoint) or not fits(found, entry.offset):
+        if not isinstance(found, Checkpoint) or not is_consistent(
+            found, entry.offset
+        ):
             return False
         if found.covers_offset < self.earliest:
             return False
         self.state = found.state.copy()
         self.scanning = False
-        self._next = found.covers_offset
+        self._next_offset = found.covers_offset
         return True
--- a/src/balsamlift/presets/_records.py
+++ b/src/balsamlift/presets/_records.py
@@ -1,4 +1,4 @@
-"""The records that the project keeps on the platform's log."""
+"""The types of records on the platform's log, and their encoding."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from balsamlift.presets._preset import Preset
 from balsamlift.presets._state import FoldState
 
-NAME_LIMIT = 200  # characters
-_BROKEN = (LookupError, ValueError, RecursionError)
-_OFFSET = attrs.validators.ge(0)
-_NAME = attrs.validators.matches_re(rf"\S.{{0,{NAME_LIMIT - 1}}}")
+MAX_NAME_LENGTH = 200  # characters
+_DECODE_ERRORS = (LookupError, ValueError, RecursionError)
+_NON_NEGATIVE = attrs.validators.ge(0)
+_NAME = attrs.validators.matches_re(rf"\S.{{0,{MAX_NAME_LENGTH - 1}}}")
 
 
 @attrs.frozen
 class Publish:
-    """Make a preset known under its name; puts nothing in force."""
+    """Publish a preset under its name; puts nothing in force."""
 
     op: str = attrs.field(validator=_NAME)
     name: str = attrs.field(validator=_NAME)
@@ -37,12 +37,12 @@
 
     op: str = attrs.field(validator=_NAME)
     name: str = attrs.field(validator=_NAME)
-    expected_generation: int = attrs.field(validator=_OFFSET)
+    expected_generation: int = attrs.field(validator=_NON_NEGATIVE)
 
 
 @attrs.frozen
 class Checkpoint:
-    """Repeat the state of all records before `covers_offset`."""
+    """Hold the state folded from all records before `covers_offset`."""
 
     op: str = attrs.field(validator=_NAME)
     covers_offset: int = attrs.field(validator=attrs.validators.ge(1))
@@ -51,22 +51,22 @@
 
 @attrs.frozen
 class Lease:
-    """Take or renew the lease on orders to engines.
+    """Acquire or renew the lease that permits sending orders to engines.
 
     Valid only if `previous_offset` is the offset of the lease record in
-    force (0: none). Its own offset is the fencing number; a lease at
-    offset 0 is void, for it could not be told from none.
+    force (0: none). Its own offset is the fencing token; a lease at offset
+    0 is ignored, because it could not be distinguished from no lease.
     """
 
     op: str = attrs.field(validator=_NAME)
     holder: str = attrs.field(validator=_NAME)  # host~incarnation
-    previous_offset: int = attrs.field(validator=_OFFSET)
+    previous_offset: int = attrs.field(validator=_NON_NEGATIVE)
     term_ms: int = attrs.field(validator=attrs.validators.gt(0))
 
 
 @attrs.frozen
 class Claim:
-    """Claim a key that has no home; the first on the log wins."""
+    """Claim a key that names no host; the first claim on the log wins."""
 
     op: str = attrs.field(validator=_NAME)
     key: str = attrs.field(validator=_NAME)  # TIMESTAMP_MS-RANDOM
@@ -75,22 +75,24 @@
 
 Record = Publish | Switch | Checkpoint | Lease | Claim
 
-_KINDS: dict[str, type[Record]] = {
+_RECORD_TYPES: dict[str, type[Record]] = {
     "publish": Publish,
     "switch": Switch,
     "checkpoint": Checkpoint,
     "lease": Lease,
     "claim": Claim,
 }
-_TYPES = {kind: name for name, kind in _KINDS.items()}
+_TYPE_NAMES = {
+    record_type: name for name, record_type in _RECORD_TYPES.items()
+}
 
 
 @attrs.frozen
 class Entry:
-    """Hold one place of the log; `record` is None where it is void."""
+    """Hold one entry of the log; `record` is None if it is not valid."""
 
     offset: int
-    at_ms: int  # by the log's clock
+    at_ms: int  # on the log's clock
     record: Record | None
 
 
@@ -99,32 +101,32 @@
 
 
 def new_operation() -> str:
-    """Return an operation id that no other operation has."""
+    """Return a random id that is unique to one operation."""
     return uuid4().hex
 
 
 def encode_record(record: Record) -> bytes:
-    """Return the JSON text of a record."""
-    fields = {"type": _TYPES[type(record)], **attrs_fields(record)}
+    """Return a record encoded as JSON, with its type under "type"."""
+    fields = {"type": _TYPE_NAMES[type(record)], **attrs_fields(record)}
     return msgspec.json.encode(fields)
 
 
 def attrs_fields(value: Any) -> dict[str, Any]:
-    """Return the fields of an attrs object, values unchanged."""
+    """Return the fields of an attrs object without converting values."""
     return attrs.asdict(value, recurse=False)
 
 
 def decode_record(data: bytes | msgspec.Raw) -> Record | None:
-    """Return the record, or None for whatever is not a valid one.
+    """Return the decoded record, or None if it is not valid.
 
-    A void record must never stop a reader.
+    An invalid record must never stop a reader.
     """
     try:
         tag = msgspec.json.decode(data, type=_Tag)
-        kind = _KINDS[tag.type]
-        record: Record = msgspec.json.decode(data, type=kind)
+        record_type = _RECORD_TYPES[tag.type]
+        record: Record = msgspec.json.decode(data, type=record_type)
         if isinstance(record, Publish):
             check_preset(record.body)
-    except (msgspec.MsgspecError, BalsamliftError, *_BROKEN):
+    except (msgspec.MsgspecError, BalsamliftError, *_DECODE_ERRORS):
         return None
     return record
--- a/src/balsamlift/presets/_routes.py
+++ b/src/balsamlift/presets/_routes.py
@@ -1,4 +1,4 @@
-"""What operators and peers read of the presets over HTTP."""
+"""HTTP routes that serve presets to operators and peers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class PublishedView:
-    """Show one published preset."""
+    """Hold the newest version of a published preset."""
 
     name: str
     version: int
@@ -26,12 +26,12 @@
 
 @attrs.frozen
 class PresetsView:
-    """Show all presets known to a host; generation 0: none in force."""
+    """Hold all presets known to a host; generation 0: none in force."""
 
     offset: int
     generation: int
     in_force: str | None
-    preset: Preset | None  # as it was at the switch
+    preset: Preset | None  # its content at the time of the switch
     caught_up: bool
     log_is_up: bool
     presets: list[PublishedView]
@@ -39,26 +39,26 @@
 
 
 class KnownPresets(Protocol):
-    """Tell what is published and in force."""
+    """Provide the presets that the handlers serve."""
 
     @property
     def state(self) -> FoldState:
-        """Return the state that the log's records fold into."""
+        """Return the state folded from the log."""
 
     @property
     def caught_up(self) -> bool:
-        """Tell whether the end of the log was reached."""
+        """Return whether the end of the log was once reached."""
 
     @property
     def log_is_up(self) -> bool:
-        """Tell whether the log answers."""
+        """Return whether the last read of the log succeeded."""
 
-    def fold_bytes(self, offset: int = 0) -> bytes | None:
-        """Return the fold encoded, when it is further than `offset`."""
+    def encoded_state(self, offset: int = 0) -> bytes | None:
+        """Return the encoded state, or None if not beyond `offset`."""
 
 
 def preset_routes(presets: KnownPresets) -> Routes:
-    """Return the routes for the operators' address."""
+    """Return the routes to serve on the operators' address."""
     arguments = {"presets": presets}
     return [
         (r"/v1/presets", PresetsHandler, arguments),
@@ -70,28 +70,28 @@
     """Answer `GET /v1/presets`."""
 
     def initialize(self, presets: KnownPresets) -> None:
-        """Keep the service."""
+        """Set the presets to serve."""
         self._presets = presets
 
     def get(self) -> None:
-        """Show what is published, in force, and was in force."""
-        self.reply(_view(self._presets))
+        """Send the published presets, the one in force and the history."""
+        self.reply(_build_view(self._presets))
 
 
 class PeerFoldHandler(JsonHandler):
     """Answer `GET /v1/peer/fold?from=OFFSET`."""
 
     def initialize(self, presets: KnownPresets) -> None:
-        """Keep the service."""
+        """Set the presets to serve."""
         self._presets = presets
 
     def get(self) -> None:
-        """Send the fold when it is further than the peer's offset."""
+        """Send the state, or 204 if it is not beyond the peer's offset."""
         text = self.get_query_argument("from", "0")
         if not text.isdecimal():
             self.reply({"error": "bad_offset"}, BAD_REQUEST)
             return
-        body = self._presets.fold_bytes(int(text))
+        body = self._presets.encoded_state(int(text))
         if body is None:
             self.set_status(NO_CONTENT)
             self.finish()
@@ -100,7 +100,7 @@
         self.finish(body)
 
 
-def _view(presets: KnownPresets) -> PresetsView:
+def _build_view(presets: KnownPresets) -> PresetsView:
     state = presets.state
     in_force = state.in_force
     return PresetsView(
--- a/src/balsamlift/presets/_state.py
+++ b/src/balsamlift/presets/_state.py
@@ -1,4 +1,4 @@
-"""What the fold of the log amounts to at one offset."""
+"""The state that the log folds into, up to one offset."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen
-class Published:
+class PublishedPreset:
     """Hold the newest version published under one name."""
 
     version: int  # counts the publications of the name, from 1
@@ -22,7 +22,10 @@
 
 @attrs.frozen
 class InForce:
-    """Hold the preset in force; it keeps its content until a switch."""
+    """Hold the preset in force.
+
+    Publishing a new version does not change it; only a switch does.
+    """
 
     generation: int  # counts the accepted switches, from 1
     name: str
@@ -33,36 +36,36 @@
 
 @attrs.frozen
 class Change:
-    """Remember one accepted switch."""
+    """Hold one accepted switch, for the history."""
 
     generation: int
     name: str
     version: int
     offset: int
-    at_ms: int  # by the log's clock
+    at_ms: int  # on the log's clock
 
 
 @attrs.frozen
 class Outcome:
-    """Tell what became of one operation."""
+    """Hold the outcome of one operation."""
 
     verdict: Verdict
     offset: int
-    generation: int  # in force just after it; 0: none yet
+    generation: int  # in force just after it; 0: none
 
 
 @attrs.frozen
 class LeaseInForce:
-    """Hold the lease in force; its offset is the fencing number."""
+    """Hold the lease in force; its offset is the fencing token."""
 
     offset: int
     holder: str
-    term_ms: int  # counted by each host from when it read the record
+    term_ms: int  # each host counts from when it read the record
 
 
 @attrs.frozen
-class CheckpointSeen:
-    """Remember the checkpoint that covers the most.
+class CheckpointReference:
+    """Refer to the checkpoint that covers the most records.
 
     It holds the state of all records before `covers_offset`.
     """
@@ -73,20 +76,20 @@
 
 @attrs.define
 class FoldState:
-    """Hold all that the log says before `offset`, the next one to fold.
+    """Hold the state of the log before `offset`, the next one to fold.
 
-    Offsets of the log begin at 0. Claims are kept apart (see
-    `ClaimWindow`), because they outgrow a checkpoint.
+    Offsets of the log start at 0. Claims are kept separately (see
+    `ClaimWindow`), because they are too many for a checkpoint.
     """
 
     offset: int = attrs.field(default=0, validator=attrs.validators.ge(0))
-    time_ms: int = 0  # the latest time of the log's clock seen
-    presets: dict[str, Published] = attrs.field(factory=dict)
+    time_ms: int = 0  # the latest time seen on the log's clock
+    presets: dict[str, PublishedPreset] = attrs.field(factory=dict)
     in_force: InForce | None = None
     history: list[Change] = attrs.field(factory=list)  # newest last
-    outcomes: dict[str, Outcome] = attrs.field(factory=dict)  # by operation
+    outcomes: dict[str, Outcome] = attrs.field(factory=dict)  # by operation id
     lease: LeaseInForce | None = None
-    checkpoint: CheckpointSeen | None = None
+    checkpoint: CheckpointReference | None = None
 
     @property
     def generation(self) -> int:
@@ -94,7 +97,7 @@
         return self.in_force.generation if self.in_force else 0
 
     def copy(self) -> FoldState:
-        """Return a state that changes apart from this one."""
+        """Return a copy that can be modified independently."""
         return attrs.evolve(
             self,
             presets=dict(self.presets),
--- a/tests/presets_bench.py
+++ b/tests/presets_bench.py
@@ -1,4 +1,4 @@
-"""A platform, hosts and operators in one process, for tests of presets."""
+"""Run a platform, hosts and operators in one process, to test presets."""
 
 import asyncio
 import random
@@ -40,7 +40,7 @@
 
 @attrs.define
 class Peer:
-    """What the service asks of a peer."""
+    """Provide what the presets service reads of a peer."""
 
     host: str
     operators_address: str
@@ -48,12 +48,12 @@
 
     @property
     def offset(self) -> int:
-        """Return how far the peer has folded."""
+        """Return the next offset that the peer folds."""
         return self.presets.offset
 
 
 class Peers:
-    """Stand for the service `peers`."""
+    """Replace the service `peers` by a fixed list."""
 
     name = "peers"
 
@@ -61,7 +61,7 @@
         self.known: list[Peer] = []
 
     def live(self) -> list[Peer]:
-        """Return the peers."""
+        """Return the peers that `Host.know` has set."""
         return self.known
 
     async def start(self, kernel: Kernel) -> None:
@@ -72,7 +72,7 @@
 
 
 class Host:
-    """One host with the services that presets need."""
+    """Run the services of one host that presets need."""
 
     def __init__(self, name: str, log_address: str, **options: Any) -> None:
         self.name = name
@@ -106,7 +106,7 @@
         self.http.close()
 
     def know(self, *others: "Host") -> None:
-        """Let these be the live peers."""
+        """Make these hosts the live peers of this one."""
         self.peers.known = [
             Peer(host.name, host.operators.address, host.presets)
             for host in others
@@ -119,7 +119,7 @@
 
 
 class Deployment:
-    """A platform and what was started on it."""
+    """Hold a platform and the hosts started on it."""
 
     def __init__(self, **settings: Any) -> None:
         self.platform = Platform(PlatformSettings(**settings), SystemClock())
@@ -127,24 +127,24 @@
         self.hosts: list[Host] = []
 
     async def host(self, name: str, **options: Any) -> Host:
-        """Start a host."""
+        """Start a host; `log_address` may replace that of the platform."""
         host = Host(name, options.pop("log_address", self.address), **options)
         self.hosts.append(host)
         await host.start()
         return host
 
     def operator(self, wait_ms: int = 3_000) -> Operator:
-        """Return an operator."""
+        """Return an operator of the platform's log."""
         return Operator(self.address, silence_ms=SILENCE_MS, wait_ms=wait_ms)
 
     def fault(self, **faults: Any) -> None:
-        """Change the platform's faults."""
+        """Set some faults of the platform; others stay as they are."""
         self.platform.control.update(faults)
 
 
 @asynccontextmanager
 async def deployment(**settings: Any) -> AsyncIterator[Deployment]:
-    """Run a platform; stop all that was started on it at the end."""
+    """Run a platform and stop it, and the hosts on it, at the end."""
     made = Deployment(**settings)
     await made.platform.start()
     try:
@@ -155,10 +155,10 @@
         await made.platform.stop()
 
 
-async def eventually(reached: Callable[[], bool]) -> None:
-    """Wait until `reached`, or fail after a generous time."""
+async def eventually(predicate: Callable[[], bool]) -> None:
+    """Wait until `predicate` holds; raise `TimeoutError` if it never does."""
     async with asyncio.timeout(DEADLINE_S):
-        while not reached():
+        while not predicate():
             await asyncio.sleep(0.01)
 
 
--- a/tests/test_preset.py
+++ b/tests/test_preset.py
@@ -27,21 +27,21 @@
 }
 
 
-def changed(path: str, value: Any) -> dict[str, Any]:
-    """Return the valid preset with one field set, or with ... dropped."""
+def modified_preset(path: str, value: Any) -> dict[str, Any]:
+    """Return the valid preset with one field replaced; ... removes it."""
     whole = copy.deepcopy(VALID)
     *parents, last = path.split(".")
-    place = whole
+    parent = whole
     for step in parents:
-        place = place.setdefault(step, {})
+        parent = parent.setdefault(step, {})
     if value is ...:
-        del place[last]
+        del parent[last]
     else:
-        place[last] = value
+        parent[last] = value
     return whole
 
 
-def test_check_preset_takes_data_and_presets() -> None:
+def test_check_preset_accepts_data_and_presets() -> None:
     preset = check_preset(VALID)
     assert preset.workspaces["museum-north"].weight == 2.0
     assert preset.policy.name == "balsamlift"
@@ -74,9 +74,9 @@
         ("policy.gap_weight", "1"),
     ],
 )
-def test_check_preset_names_the_fault(path: str, value: Any) -> None:
+def test_check_preset_reports_the_invalid_field(path: str, value: Any) -> None:
     with pytest.raises(SettingsError) as caught:
-        check_preset(changed(path, value), "peak.json5")
+        check_preset(modified_preset(path, value), "peak.json5")
     assert caught.value.path == path
     assert caught.value.file == "peak.json5"
 
@@ -92,19 +92,19 @@
 def test_msgspec_decoding_checks_the_same_ranges(
     path: str, value: Any
 ) -> None:
-    text = msgspec.json.encode(changed(path, value))
+    text = msgspec.json.encode(modified_preset(path, value))
     with pytest.raises(msgspec.ValidationError):
         msgspec.json.decode(text, type=Preset)
 
 
-def test_encoding_and_decoding_keep_a_preset() -> None:
+def test_preset_round_trips_through_json() -> None:
     preset = check_preset(VALID)
     text = msgspec.json.encode(preset)
     assert msgspec.json.decode(text, type=Preset) == preset
     assert structure(msgspec.json.decode(text), Preset) == preset
 
 
-def test_check_pools_compares_with_the_settings() -> None:
+def test_check_pools_accepts_pools_of_the_settings() -> None:
     check_pools(check_preset(VALID), POOLS)
 
 
@@ -112,15 +112,17 @@
     ("preset", "pools", "path"),
     [
         (VALID, {"tracker": POOLS["tracker"]}, "kinds.report.pool"),
-        (changed("pools", {}), POOLS, "pools.drafting"),
+        (modified_preset("pools", {}), POOLS, "pools.drafting"),
         (
-            changed("pools.tracker", {"model": "scribe", "version": "3"}),
+            modified_preset(
+                "pools.tracker", {"model": "scribe", "version": "3"}
+            ),
             POOLS,
             "pools.tracker",
         ),
     ],
 )
-def test_check_pools_names_the_fault(
+def test_check_pools_reports_the_invalid_field(
     preset: dict[str, Any], pools: dict[str, PoolSettings], path: str
 ) -> None:
     with pytest.raises(SettingsError) as caught:
--- a/tests/test_presets_claimant.py
+++ b/tests/test_presets_claimant.py
@@ -6,15 +6,15 @@
 
 from balsamlift.exceptions import LogUnavailableError, RefusedError
 from balsamlift.presets import Claim
+from balsamlift.presets._change_notifier import ChangeNotifier
 from balsamlift.presets._claimant import Claimant
-from balsamlift.presets._progress import Progress
 from balsamlift.presets._reader import Reader
 
 KEY = key_at(START_MS)
 
 
 class ScriptedLog(MemoryLog):
-    """Let a test act between the append and the read."""
+    """Run hooks of a test just before and after an append."""
 
     def __init__(self):
         super().__init__()
@@ -31,8 +31,8 @@
         return offsets
 
 
-class Client:
-    """Stand for the log client of one host."""
+class FakeLogClient:
+    """Provide the calls of `LogClient` that the claimant and reader use."""
 
     def __init__(self, log):
         self.append = log.append_claims
@@ -41,25 +41,29 @@
 
 def make_claimant(log):
     reader = Reader(log, BOUNDS)
-    progress = Progress()
-    claimant = Claimant(Client(log), reader, progress, "a~1", lambda: 0)
-    return claimant, reader, progress
+    notifier = ChangeNotifier()
+    claimant = Claimant(FakeLogClient(log), reader, notifier, "a~1", lambda: 0)
+    return claimant, reader, notifier
 
 
-async def claim_and_read(claimant, reader, progress):
-    """Claim while the reader reads on, as the service does."""
+async def claim_and_read(claimant, reader, notifier):
+    """Claim while the reader polls, as the service does."""
     claiming = asyncio.create_task(claimant.claim(KEY))
     while not claiming.done():
         await asyncio.sleep(0)
-        await reader.step(0)
-        progress.notify()
+        await reader.poll(0)
+        notifier.notify()
     return claiming.result()
 
 
-def test_claim_that_hides_behind_a_gap_is_not_won():
-    """Another host's claim expires unread; ours is the first one left."""
+def test_claim_is_not_won_when_an_earlier_claim_was_missed():
+    """Our claim is only the first one retained, not the first one made.
+
+    The claim of another host precedes it on the log and expires before this
+    host has read it.
+    """
     log = ScriptedLog()
-    claimant, reader, progress = make_claimant(log)
+    claimant, reader, notifier = make_claimant(log)
     MemoryLog.append(log, None)
     run_to_end(reader)
     log.before_append = lambda: MemoryLog.append(
@@ -71,26 +75,26 @@
 
     log.after_append = expire
     with pytest.raises(RefusedError) as caught:
-        asyncio.run(claim_and_read(claimant, reader, progress))
+        asyncio.run(claim_and_read(claimant, reader, notifier))
     assert caught.value.reason == "claims_not_folded"
-    with pytest.raises(RefusedError):  # nor is it won the second time
-        asyncio.run(claim_and_read(claimant, reader, progress))
+    with pytest.raises(RefusedError):  # a retry does not win either
+        asyncio.run(claim_and_read(claimant, reader, notifier))
 
 
-def test_claim_refused_with_its_answer_lost_is_won_when_asked_again(
+def test_refused_claim_with_a_lost_answer_is_won_on_retry(
     monkeypatch,
 ):
     monkeypatch.setattr("balsamlift.presets._claimant.CLAIM_WAIT_S", 0.05)
     log = ScriptedLog()
     log.loses_answer = True
-    claimant, reader, progress = make_claimant(log)
+    claimant, reader, notifier = make_claimant(log)
     MemoryLog.append(log, None)
     run_to_end(reader)
     with pytest.raises(RefusedError):
-        asyncio.run(claimant.claim(KEY))  # nobody reads
+        asyncio.run(claimant.claim(KEY))  # the reader does not poll
     run_to_end(reader)
-    again = asyncio.run(claim_and_read(claimant, reader, progress))
-    assert again.state == "won"
-    once_more = asyncio.run(claim_and_read(claimant, reader, progress))
-    assert once_more.state == "lost"
+    second = asyncio.run(claim_and_read(claimant, reader, notifier))
+    assert second.state == "won"
+    third = asyncio.run(claim_and_read(claimant, reader, notifier))
+    assert third.state == "lost"
     assert len(log.entries) == 2
--- a/tests/test_presets_fold.py
+++ b/tests/test_presets_fold.py
@@ -27,7 +27,7 @@
     fold,
 )
 from balsamlift.presets._claims import ClaimWindow, created_ms
-from balsamlift.presets._fold import OUTCOMES_KEPT
+from balsamlift.presets._fold import MAX_OUTCOMES
 from balsamlift.presets._reader import Reader
 
 NAMES = ("ordinary", "peak", "maintenance")
@@ -38,7 +38,7 @@
 
 
 class MemoryLog:
-    """A log in memory, read as `Reader` reads the platform's."""
+    """Keep a log in memory, with the `read` method that `Reader` calls."""
 
     def __init__(self):
         self.entries = []
@@ -59,22 +59,22 @@
 
 
 def run_to_end(reader):
-    """Read until nothing is left; twice over, for a jump to a checkpoint."""
+    """Poll to the end of the log, with polls to spare for a checkpoint."""
 
     async def run():
         for _ in range(4):
-            await reader.step(0)
+            await reader.poll(0)
 
     asyncio.run(run())
 
 
 class FoldMachine(RuleBasedStateMachine):
-    """Race operators, checkpoints (also stale ones), retention, readers."""
+    """Interleave operators, (stale) checkpoints, retention and readers."""
 
     def __init__(self):
         super().__init__()
         self.log = MemoryLog()
-        self.steady = Reader(self.log, BOUNDS)
+        self.continuous = Reader(self.log, BOUNDS)
         self.paused = Reader(self.log, BOUNDS)
         self.snapshots = []
         self.generations = [0]
@@ -82,51 +82,51 @@
 
     def append(self, record):
         self.log.append(record)
-        run_to_end(self.steady)
-        self.generations.append(self.steady.state.generation)
+        run_to_end(self.continuous)
+        self.generations.append(self.continuous.state.generation)
 
-    def op(self):
+    def next_op(self):
         self.ops += 1
         return f"op-{self.ops}"
 
     @rule(name=st.sampled_from(NAMES), matching=st.booleans())
     def publish(self, name, matching):
         body = make_preset(name if matching else "other")
-        self.append(Publish(self.op(), name, body))
+        self.append(Publish(self.next_op(), name, body))
 
     @rule(name=st.sampled_from(NAMES), behind=st.integers(0, 2))
     def switch(self, name, behind):
-        before = self.steady.state.copy()
-        op = self.op()
+        before = self.continuous.state.copy()
+        op = self.next_op()
         expected = max(before.generation - behind, 0)
         self.append(Switch(op, name, expected))
-        outcome = self.steady.state.outcomes[op]
+        outcome = self.continuous.state.outcomes[op]
         wins = expected == before.generation and name in before.presets
         assert (outcome.verdict == "accepted") == wins
-        assert self.steady.state.generation == before.generation + wins
+        assert self.continuous.state.generation == before.generation + wins
 
     @rule(name=st.sampled_from(NAMES))
     def switch_twice_with_one_op(self, name):
-        record = Switch(self.op(), name, self.steady.state.generation)
+        record = Switch(self.next_op(), name, self.continuous.state.generation)
         self.append(record)
-        after = self.steady.state.generation
-        outcome = self.steady.state.outcomes[record.op]
+        after = self.continuous.state.generation
+        outcome = self.continuous.state.outcomes[record.op]
         self.append(record)
-        assert self.steady.state.generation == after
-        assert self.steady.state.outcomes[record.op] == outcome
+        assert self.continuous.state.generation == after
+        assert self.continuous.state.outcomes[record.op] == outcome
 
     @rule(current=st.booleans(), holder=st.sampled_from("ab"))
     def lease(self, current, holder):
-        held = self.steady.state.lease
+        held = self.continuous.state.lease
         previous = held.offset if held and current else 0
-        self.append(Lease(self.op(), holder, previous, 1_000))
+        self.append(Lease(self.next_op(), holder, previous, 1_000))
         if held and not current:
-            assert self.steady.state.lease == held
+            assert self.continuous.state.lease == held
 
     @rule(age_s=st.integers(-1, 70), host=st.sampled_from("ab"))
     def claim(self, age_s, host):
         key = f"{self.log.at_ms - age_s * 1_000}-abcdefgh"
-        self.append(Claim(self.op(), key, host))
+        self.append(Claim(self.next_op(), key, host))
 
     @rule()
     def void(self):
@@ -134,18 +134,18 @@
 
     @rule()
     def take_snapshot(self):
-        self.snapshots.append(self.steady.state.copy())
+        self.snapshots.append(self.continuous.state.copy())
 
     @precondition(lambda self: self.snapshots)
     @rule(data=st.data())
     def checkpoint(self, data):
         state = data.draw(st.sampled_from(self.snapshots))
         if state.offset > 0:
-            record = Checkpoint(self.op(), state.offset, state.copy())
-            before = self.steady.state.copy()
+            record = Checkpoint(self.next_op(), state.offset, state.copy())
+            before = self.continuous.state.copy()
             self.append(record)
-            assert self.steady.state.presets == before.presets
-            assert self.steady.state.in_force == before.in_force
+            assert self.continuous.state.presets == before.presets
+            assert self.continuous.state.in_force == before.in_force
 
     @rule(delta_s=st.integers(1, 40))
     def advance(self, delta_s):
@@ -172,16 +172,16 @@
     @rule()
     def newcomer_adopts(self):
         newcomer = Reader(self.log, BOUNDS)
-        newcomer.adopt(self.steady.state.copy())
+        newcomer.adopt(self.continuous.state.copy())
         run_to_end(newcomer)
-        assert newcomer.state == self.steady.state
+        assert newcomer.state == self.continuous.state
         self.check_claims(newcomer)
 
     def check_agrees(self, reader):
         if reader.scanning:
             assert self.log.earliest > reader.state.offset
         else:
-            assert reader.state == self.steady.state
+            assert reader.state == self.continuous.state
         self.check_claims(reader)
 
     def check_claims(self, reader):
@@ -193,18 +193,18 @@
             if not reader.claims.is_complete_for(key_ms):
                 continue
             if not reader.claims.is_too_old(key_ms):
-                expected = self.steady.claims.winner(record.key)
+                expected = self.continuous.claims.winner(record.key)
                 assert reader.claims.winner(record.key) == expected
 
     @invariant()
-    def generation_never_goes_back(self):
+    def generation_never_decreases(self):
         steps = zip(self.generations, self.generations[1:], strict=False)
         assert all(after - before in (0, 1) for before, after in steps)
-        in_force = self.steady.state.in_force
+        in_force = self.continuous.state.in_force
         assert (in_force is None) == (self.generations[-1] == 0)
 
 
-def test_readers_agree_whatever_happens():
+def test_readers_agree_under_random_operations():
     run_state_machine_as_test(FoldMachine, settings=FIXED)
 
 
@@ -212,7 +212,7 @@
     return [Entry(i, START_MS, record) for i, record in enumerate(records)]
 
 
-def folded(*records):
+def fold_records(*records):
     state = FoldState()
     for entry in entries(*records):
         fold(state, entry)
@@ -220,7 +220,7 @@
 
 
 def test_first_of_two_racing_switches_wins():
-    state = folded(
+    state = fold_records(
         Publish("p1", "ordinary", make_preset("ordinary")),
         Publish("p2", "peak", make_preset("peak")),
         Switch("s1", "peak", 0),
@@ -232,11 +232,11 @@
     assert [change.name for change in state.history] == ["peak"]
 
 
-def test_publishing_again_leaves_the_preset_in_force_alone():
+def test_publishing_a_new_version_leaves_the_preset_in_force_unchanged():
     body = make_preset("peak")
     changed = make_preset("peak")
     changed.kinds.clear()
-    state = folded(
+    state = fold_records(
         Publish("p1", "peak", body),
         Switch("s1", "peak", 0),
         Publish("p2", "peak", changed),
@@ -245,8 +245,8 @@
     assert state.presets["peak"].version == 2
 
 
-def test_lease_needs_the_offset_of_the_one_in_force():
-    state = folded(
+def test_lease_must_name_the_offset_of_the_lease_in_force():
+    state = fold_records(
         None,
         Lease("l1", "a", 0, 1_000),
         Lease("l2", "b", 0, 1_000),
@@ -256,8 +256,8 @@
     assert (state.lease.holder, state.lease.offset) == ("a", 3)
 
 
-def test_fold_refuses_a_gap_and_ignores_the_past():
-    state = folded(None, None)
+def test_fold_rejects_a_gap_and_ignores_applied_entries():
+    state = fold_records(None, None)
     before = state.copy()
     fold(state, Entry(0, START_MS, Switch("s", "peak", 0)))
     assert state == before
@@ -266,13 +266,13 @@
 
 
 def test_outcomes_are_bounded():
-    switches = [Switch(f"s{i}", "none", 0) for i in range(OUTCOMES_KEPT + 10)]
-    state = folded(*switches)
-    assert len(state.outcomes) == OUTCOMES_KEPT
+    switches = [Switch(f"s{i}", "none", 0) for i in range(MAX_OUTCOMES + 10)]
+    state = fold_records(*switches)
+    assert len(state.outcomes) == MAX_OUTCOMES
     assert "s0" not in state.outcomes
 
 
-def test_checkpoint_that_contradicts_itself_is_not_started_from():
+def test_inconsistent_checkpoint_is_not_restored():
     log = MemoryLog()
     log.append(None)
     log.append(Checkpoint("c1", 1, FoldState(offset=5)))
@@ -283,8 +283,8 @@
     assert reader.scanning
 
 
-def test_state_survives_the_codecs():
-    state = folded(
+def test_checkpoint_round_trips_through_json():
+    state = fold_records(
         Publish("p1", "peak", make_preset("peak")),
         Switch("s1", "peak", 0),
         Lease("l1", "a", 0, 1_000),
@@ -315,11 +315,11 @@
         b"[" * 100_000,
     ],
 )
-def test_whatever_is_no_record_is_void(text):
+def test_invalid_record_decodes_to_none(text):
     assert decode_record(text) is None
 
 
-def test_claims_kept_are_bounded_and_the_forgotten_never_win_again():
+def test_claims_are_bounded_and_forgotten_keys_cannot_be_won_again():
     window = ClaimWindow(BOUNDS)
     keys = [f"{START_MS + i}-abcdefgh" for i in range(BOUNDS.kept + 50)]
     at_ms = START_MS + len(keys)
@@ -336,7 +336,7 @@
     return f"{time_ms}-abcdefgh"
 
 
-def test_reader_that_missed_claims_knows_that_it_did():
+def test_reader_that_missed_claims_reports_them_incomplete():
     log = MemoryLog()
     reader = Reader(log, BOUNDS)
     log.append(None)
@@ -349,15 +349,15 @@
     assert not reader.claims.is_complete_for(START_MS)
 
 
-def test_reader_reads_claims_again_after_taking_over_a_fold():
+def test_reader_reads_claims_again_after_adopting_a_state():
     log = MemoryLog()
-    steady = Reader(log, BOUNDS)
+    continuous = Reader(log, BOUNDS)
     reader = Reader(log, BOUNDS)
     log.append(None)
     run_to_end(reader)
     log.append(Claim("o1", key_at(START_MS), "a"))
-    run_to_end(steady)
-    assert reader.adopt(steady.state.copy())
+    run_to_end(continuous)
+    assert reader.adopt(continuous.state.copy())
     assert not reader.claims.is_complete_for(START_MS)
     run_to_end(reader)
     assert reader.claims.winner(key_at(START_MS)).host == "a"
@@ -375,17 +375,17 @@
         (START_MS - BOUNDS.age_ms - 1, False),
     ],
 )
-def test_claim_counts_only_while_its_key_is_in_the_window(key_ms, wins):
+def test_claim_wins_only_while_its_key_is_in_the_window(key_ms, wins):
     window = ClaimWindow(BOUNDS)
     window.fold(Entry(0, START_MS, Claim("o", key_at(key_ms), "a")))
     assert (window.winner(key_at(key_ms)) is not None) == wins
 
 
-def test_claims_of_a_newcomer_are_complete_only_for_later_keys():
+def test_claims_of_a_new_host_are_complete_only_for_later_keys():
     window = ClaimWindow(BOUNDS)
     assert not window.is_complete_for(START_MS)
     window.fold(Entry(7, START_MS, None))
     assert not window.is_complete_for(START_MS + BOUNDS.ahead_ms)
     assert window.is_complete_for(START_MS + BOUNDS.ahead_ms + 1)
-    window.interrupt()
+    window.mark_gap()
     assert not window.is_complete_for(10**12)
--- a/tests/test_presets_log.py
+++ b/tests/test_presets_log.py
@@ -49,7 +49,7 @@
 
 
 async def append_when_unblocked(client, record):
-    """Append, coming back when the client says so."""
+    """Append, retrying after the delay that the client returns."""
     while True:
         try:
             return await client.append([record])
@@ -57,7 +57,7 @@
             await asyncio.sleep(error.retry_after_ms / 1_000)
 
 
-def test_callers_that_wait_share_appends():
+def test_concurrent_callers_share_appends():
     async def body(made, client):
         records = [claim(i) for i in range(400)]
         answers = await asyncio.gather(
@@ -72,7 +72,7 @@
     run_with_client(body)
 
 
-def test_rate_limit_is_waited_out():
+def test_append_waits_until_the_rate_limit_allows_it():
     async def body(made, client):
         offsets = [await client.append([claim(i)]) for i in range(12)]
         assert offsets == [[i] for i in range(12)]
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("answer", ["silent", "503"])
-def test_lost_answer_raises_and_reading_on_tells(answer):
+def test_append_with_a_lost_answer_raises_but_is_on_the_log(answer):
     async def body(made, client):
         made.fault(lose_answers=answer)
         with pytest.raises(LogUnavailableError) as caught:
@@ -95,7 +95,7 @@
     run_with_client(body)
 
 
-def test_appends_are_blocked_while_backed_off_then_work_again():
+def test_appends_are_blocked_during_back_off_then_succeed():
     async def body(made, client):
         made.fault(down=True)
         with pytest.raises(LogUnavailableError):
@@ -110,7 +110,7 @@
     run_with_client(body)
 
 
-def test_silence_is_bounded_and_a_new_connection_works():
+def test_silent_log_times_out_and_a_new_connection_works():
     async def body(made, client):
         await client.append([claim(0)])
         made.fault(silent=True)
@@ -127,7 +127,7 @@
     run_with_client(body)
 
 
-def test_log_slower_than_the_bound_on_silence_is_waited_for():
+def test_log_slower_than_the_minimum_timeout_is_waited_for():
     async def body(made, client):
         made.fault(slow_ms=int(SILENCE_MS * 1.5))
         with pytest.raises(LogUnavailableError):
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("call", ["read", "append"])
-def test_one_silence_is_enough_to_leave_connections_silent_for_good(call):
+def test_one_timeout_abandons_all_silent_connections(call):
     async def body(made, _):
         link = Link(LinkSettings(target_address=made.address))
         await link.start()
@@ -173,7 +173,7 @@
     run_with_client(body)
 
 
-def test_appends_that_wait_fail_when_the_client_stops():
+def test_pending_appends_fail_when_the_client_stops():
     async def body(made, client):
         made.fault(silent=True)
         first = asyncio.create_task(client.append([claim(0)]))
@@ -187,7 +187,7 @@
     run_with_client(body)
 
 
-def test_back_off_grows_with_jitter_up_to_its_bound():
+def test_back_off_grows_with_jitter_up_to_its_maximum():
     back_off = BackOff(random.Random(1))
     delays = [back_off.failed() for _ in range(12)]
     assert delays[0] <= 0.1
--- a/tests/test_presets_operator.py
+++ b/tests/test_presets_operator.py
@@ -30,7 +30,7 @@
     asyncio.run(main())
 
 
-def test_one_of_many_racing_operators_wins():
+def test_one_of_many_concurrent_operators_wins():
     names = [f"preset-{i}" for i in range(8)]
 
     async def main():
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("answer", ["silent", "503"])
-def test_lost_answer_is_settled_by_reading_on(answer):
+def test_lost_answer_is_resolved_by_reading_the_log(answer):
     async def main():
         async with deployment() as made:
             await made.operator().publish(make_preset("peak"))
@@ -69,7 +69,7 @@
     asyncio.run(main())
 
 
-def test_late_effect_is_unknown_and_told_later():
+def test_outcome_of_a_late_append_is_unknown_until_it_appears():
     async def main():
         async with deployment() as made:
             operator = made.operator(wait_ms=700)
@@ -78,14 +78,14 @@
             assert result.state == "unknown"
             assert result.generation is None
             await made.platform.store.wait_beyond(0, 10_000)
-            told = await operator.outcome(result.op)
-            assert told.state == "accepted"
+            resolved = await operator.outcome(result.op)
+            assert resolved.state == "accepted"
             assert made.platform.store.end == 1
 
     asyncio.run(main())
 
 
-def test_log_down_is_told_and_nothing_appended():
+def test_unavailable_log_raises_and_nothing_is_appended():
     async def main():
         async with deployment() as made:
             made.fault(down=True)
@@ -99,7 +99,7 @@
     asyncio.run(main())
 
 
-def test_operator_never_acts_on_part_of_the_log():
+def test_operator_rejects_an_incomplete_log():
     async def main():
         async with deployment(log_retention_records=1) as made:
             operator = made.operator(wait_ms=500)
--- a/tests/test_presets_service.py
+++ b/tests/test_presets_service.py
@@ -19,8 +19,8 @@
 from balsamlift.testing._link import Link
 from balsamlift.testing._settings import LinkSettings
 
-NOWHERE = "127.0.0.1:1"
-NEVER_MS = 1_000_000_000  # no checkpoint by itself within a test
+UNREACHABLE_ADDRESS = "127.0.0.1:1"
+NEVER_MS = 1_000_000_000  # retention for which no checkpoint is due in a test
 
 
 def key_now(age_ms=0):
@@ -34,11 +34,11 @@
     return result.generation
 
 
-def kinds(host):
+def event_kinds(host):
     return [event.kind for event in host.timeline.events()]
 
 
-def test_change_reaches_every_host_with_its_callbacks():
+def test_change_reaches_every_host_and_calls_its_callbacks():
     async def main():
         async with deployment() as made:
             hosts = [await made.host(name) for name in "abc"]
@@ -54,12 +54,12 @@
                 assert host.presets.in_force().name == "ordinary"
                 assert host.presets.caught_up
             assert seen == generations == [1, 2]
-            assert kinds(hosts[0]).count("preset_in_force") == 2
+            assert event_kinds(hosts[0]).count("preset_in_force") == 2
 
     asyncio.run(main())
 
 
-def test_preset_stays_in_force_while_the_log_is_down_and_after():
+def test_preset_stays_in_force_during_and_after_a_log_outage():
     async def main():
         async with deployment() as made:
             host = await made.host("a")
@@ -71,7 +71,7 @@
             made.fault(down=False)
             await put_in_force(made, "ordinary")
             await eventually(lambda: host.generation() == 2)
-            assert kinds(host) == [
+            assert event_kinds(host) == [
                 "preset_in_force",
                 "log_down",
                 "log_up",
@@ -81,45 +81,47 @@
     asyncio.run(main())
 
 
-def test_host_cut_from_the_log_follows_a_peer():
+def test_host_that_cannot_reach_the_log_follows_a_peer():
     async def main():
         async with deployment() as made:
-            steady = await made.host("a")
-            cut = await made.host("b", log_address=NOWHERE)
-            cut.know(steady)
+            connected = await made.host("a")
+            isolated = await made.host("b", log_address=UNREACHABLE_ADDRESS)
+            isolated.know(connected)
             await put_in_force(made, "peak")
-            await eventually(lambda: cut.generation() == 1)
-            assert cut.presets.caught_up
+            await eventually(lambda: isolated.generation() == 1)
+            assert isolated.presets.caught_up
             await put_in_force(made, "ordinary")
-            await eventually(lambda: cut.generation() == 2)
+            await eventually(lambda: isolated.generation() == 2)
 
     asyncio.run(main())
 
 
-def test_host_whose_way_to_the_log_goes_silent_follows_a_peer():
+def test_host_whose_connection_to_the_log_stalls_follows_a_peer():
     async def main():
         async with deployment() as made:
             link = Link(LinkSettings(target_address=made.address))
             await link.start()
-            steady = await made.host("a")
-            cut = await made.host("b", log_address=link.ready()["address"])
-            cut.know(steady)
+            connected = await made.host("a")
+            isolated = await made.host(
+                "b", log_address=link.ready()["address"]
+            )
+            isolated.know(connected)
             await put_in_force(made, "peak")
-            await eventually(lambda: cut.generation() == 1)
+            await eventually(lambda: isolated.generation() == 1)
             link.control.update({"stall_forward": True})
             await put_in_force(made, "ordinary")
-            await eventually(lambda: cut.generation() == 2)
-            assert "log_down" in kinds(cut)
+            await eventually(lambda: isolated.generation() == 2)
+            assert "log_down" in event_kinds(isolated)
             link.control.update({"stall_forward": False})
-            await eventually(lambda: cut.presets.log_is_up)
+            await eventually(lambda: isolated.presets.log_is_up)
             await put_in_force(made, "peak")
-            await eventually(lambda: cut.generation() == 3)
+            await eventually(lambda: isolated.generation() == 3)
             await link.stop()
 
     asyncio.run(main())
 
 
-def test_newcomer_alone_in_an_outage_is_not_caught_up():
+def test_newcomer_without_log_and_peers_is_not_caught_up():
     async def main():
         async with deployment() as made:
             await put_in_force(made, "peak")
@@ -138,13 +140,15 @@
 def test_newcomer_starts_from_a_checkpoint_when_records_expired():
     async def main():
         async with deployment(log_retention_records=3) as made:
-            old = await made.host("a", retention_ms=1_000)
+            established = await made.host("a", retention_ms=1_000)
             await put_in_force(made, "peak")
-            await eventually(lambda: kinds(old).count("checkpoint") > 0)
-            newest = old.presets.state.checkpoint
+            await eventually(
+                lambda: event_kinds(established).count("checkpoint") > 0
+            )
+            newest = established.presets.state.checkpoint
             await eventually(
                 lambda: (
-                    old.presets.state.checkpoint is not newest
+                    established.presets.state.checkpoint is not newest
                     and made.platform.store.read(0, 1).earliest > 1
                 )
             )
@@ -152,7 +156,9 @@
             await eventually(lambda: newcomer.presets.caught_up)
             assert newcomer.generation() == 1
             offset = newcomer.presets.offset
-            assert await old.presets.wait_offset(offset - 1, DEADLINE_S)
+            assert await established.presets.wait_offset(
+                offset - 1, DEADLINE_S
+            )
 
     asyncio.run(main())
 
@@ -160,26 +166,26 @@
 def test_newcomer_without_a_usable_checkpoint_asks_a_peer():
     async def main():
         async with deployment(log_retention_records=3) as made:
-            old = await made.host("a", retention_ms=NEVER_MS)
+            established = await made.host("a", retention_ms=NEVER_MS)
             await made.operator().publish(make_preset("peak"))
-            early = old.presets.state.copy()
+            early = established.presets.state.copy()
             await made.operator().switch("peak")
-            await eventually(lambda: old.generation() == 1)
+            await eventually(lambda: established.generation() == 1)
             stale = Checkpoint(new_operation(), early.offset, early)
-            for _ in range(3):  # push all other records out
-                await old.presets.append(stale)
-            alone = await made.host("b", retention_ms=NEVER_MS)
-            helped = await made.host("c", retention_ms=NEVER_MS)
-            helped.know(old)
-            await eventually(lambda: helped.presets.caught_up)
-            assert helped.generation() == 1
-            assert not alone.presets.caught_up
-            assert alone.presets.in_force() is None
+            for _ in range(3):  # make all other records expire
+                await established.presets.append(stale)
+            without_peers = await made.host("b", retention_ms=NEVER_MS)
+            with_peer = await made.host("c", retention_ms=NEVER_MS)
+            with_peer.know(established)
+            await eventually(lambda: with_peer.presets.caught_up)
+            assert with_peer.generation() == 1
+            assert not without_peers.presets.caught_up
+            assert without_peers.presets.in_force() is None
 
     asyncio.run(main())
 
 
-def test_stale_checkpoint_sets_nobody_back():
+def test_stale_checkpoint_reverts_no_host():
     async def main():
         async with deployment() as made:
             host = await made.host("a", retention_ms=NEVER_MS)
@@ -200,7 +206,7 @@
     asyncio.run(main())
 
 
-def test_fold_is_served_only_when_further():
+def test_state_is_served_only_if_beyond_the_requested_offset():
     async def main():
         async with deployment() as made:
             host = await made.host("a")
@@ -223,16 +229,16 @@
                 await made.host(name, claim_bounds=BOUNDS) for name in "abc"
             ]
             await eventually(lambda: all(h.presets.caught_up for h in hosts))
-            await put_in_force(made, "peak")  # claims are known from here on
+            await put_in_force(made, "peak")  # claims are complete from here
             keys = [key_now() for _ in range(40)]
             claims = [
                 host.presets.claim(key) for key in keys for host in hosts
             ]
             results = await asyncio.gather(*claims)
             for i in range(len(keys)):
-                of_key = results[3 * i : 3 * i + 3]
-                assert sum(bool(result) for result in of_key) == 1
-                assert len({result.host for result in of_key}) == 1
+                key_results = results[3 * i : 3 * i + 3]
+                assert sum(bool(result) for result in key_results) == 1
+                assert len({result.host for result in key_results}) == 1
             repeated = await hosts[0].presets.claim(keys[0])
             assert repeated.state == "lost"
 
@@ -240,7 +246,7 @@
 
 
 @pytest.mark.parametrize("answer", ["silent", "503"])
-def test_claim_with_a_lost_answer_is_won_by_reading_on(answer):
+def test_claim_with_a_lost_answer_is_won_by_reading_the_log(answer):
     async def main():
         async with deployment() as made:
             host = await made.host("a", claim_bounds=BOUNDS)
@@ -273,14 +279,14 @@
 def test_claim_is_refused_where_earlier_claims_may_be_missing():
     async def main():
         async with deployment(log_retention_records=4) as made:
-            old = await made.host("a", retention_ms=NEVER_MS)
+            established = await made.host("a", retention_ms=NEVER_MS)
             await put_in_force(made, "peak")
-            await eventually(lambda: old.generation() == 1)
+            await eventually(lambda: established.generation() == 1)
             key = key_now()
-            assert await old.presets.claim(key)
-            for _ in range(4):  # the claim leaves the log
-                state = old.presets.state.copy()
-                await old.presets.append(
+            assert await established.presets.claim(key)
+            for _ in range(4):  # make the claim expire
+                state = established.presets.state.copy()
+                await established.presets.append(
                     Checkpoint(new_operation(), state.offset, state)
                 )
             newcomer = await made.host("b", retention_ms=NEVER_MS)
