--- a/src/balsamlift/orders/_service.py
+++ b/src/balsamlift/orders/_service.py
@@ -20,7 +20,7 @@
     ReconcilerContext,
 )
 from balsamlift.peers import Peers, Upstreams
-from balsamlift.presets import InForce, Lease, Presets, new_operation
+from balsamlift.presets import InForce, Lease, Presets, new_operation_id
 from balsamlift.settings import OrderSettings
 from balsamlift.timeline import Timeline
 
@@ -177,7 +177,7 @@
 
     async def _append(self) -> None:
         record = Lease(
-            op=new_operation(),
+            op=new_operation_id(),
             holder=self._lease.holder,
             previous_offset=self._lease.begin_append(),
             term_ms=self._settings.term_ms,
--- a/src/balsamlift/presets/__init__.py
+++ b/src/balsamlift/presets/__init__.py
@@ -22,7 +22,7 @@
     Switch,
     decode_record,
     encode_record,
-    new_operation,
+    new_operation_id,
 )
 from balsamlift.presets._service import Presets
 from balsamlift.presets._state import FoldState, InForce, LeaseInForce
@@ -54,5 +54,5 @@
     "decode_record",
     "encode_record",
     "fold",
-    "new_operation",
+    "new_operation_id",
 ]
--- a/src/balsamlift/presets/_checkpointer.py
+++ b/src/balsamlift/presets/_checkpointer.py
@@ -12,7 +12,7 @@
 from balsamlift.exceptions import LogUnavailableError
 from balsamlift.presets._log import LogClient
 from balsamlift.presets._reader import Reader
-from balsamlift.presets._records import Checkpoint, new_operation
+from balsamlift.presets._records import Checkpoint, new_operation_id
 from balsamlift.timeline import Timeline
 
 log = logger.bind(part="presets")
@@ -66,7 +66,7 @@
         self._due_s = self._next_due_s()
         state = reader.state.copy()
         self._task = asyncio.create_task(
-            self._append(Checkpoint(new_operation(), state.offset, state))
+            self._append(Checkpoint(new_operation_id(), state.offset, state))
         )
 
     async def stop(self) -> None:
--- a/src/balsamlift/presets/_claimant.py
+++ b/src/balsamlift/presets/_claimant.py
@@ -19,7 +19,7 @@
 from balsamlift.presets._claims import created_ms
 from balsamlift.presets._log import LogClient
 from balsamlift.presets._reader import Reader
-from balsamlift.presets._records import Claim, new_operation
+from balsamlift.presets._records import Claim, new_operation_id
 
 CLAIM_WAIT_S = 5.0
 MIN_RETRY_MS = 200
@@ -80,7 +80,7 @@
         if self._reader.claims.winner(key) is not None:
             return self._result(key, "")
         self._check_claimable(key, key_ms)
-        claim = Claim(new_operation(), key, self._host)
+        claim = Claim(new_operation_id(), key, self._host)
         try:
             return await self._append_and_read(claim, key_ms)
         except RefusedError:
--- a/src/balsamlift/presets/_operator.py
+++ b/src/balsamlift/presets/_operator.py
@@ -24,7 +24,7 @@
 from balsamlift.presets._log import LogClient
 from balsamlift.presets._preset import Preset
 from balsamlift.presets._reader import Reader
-from balsamlift.presets._records import Publish, Switch, new_operation
+from balsamlift.presets._records import Publish, Switch, new_operation_id
 from balsamlift.presets._state import FoldState, Outcome
 
 log = logger.bind(part="operator")
@@ -83,7 +83,7 @@
         """Publish a preset under its name, without putting it in force."""
         async with self._session() as session:
             await session.catch_up()
-            record = Publish(new_operation(), preset.name, preset)
+            record = Publish(new_operation_id(), preset.name, preset)
             return await session.append(record)
 
     async def switch(
@@ -99,7 +99,7 @@
             expected = expected_generation
             if expected is None:
                 expected = state.generation
-            record = Switch(new_operation(), name, expected)
+            record = Switch(new_operation_id(), name, expected)
             return await session.append(record)
 
     async def state(self) -> FoldState:
--- a/src/balsamlift/presets/_records.py
+++ b/src/balsamlift/presets/_records.py
@@ -100,7 +100,7 @@
     type: str
 
 
-def new_operation() -> str:
+def new_operation_id() -> str:
     """Return a random id that is unique to one operation."""
     return uuid4().hex
 
--- a/tests/test_presets_service.py
+++ b/tests/test_presets_service.py
@@ -15,7 +15,7 @@
     KeyTooOldError,
     RefusedError,
 )
-from balsamlift.presets import Checkpoint, new_operation
+from balsamlift.presets import Checkpoint, new_operation_id
 from balsamlift.testing._link import Link
 from balsamlift.testing._settings import LinkSettings
 
@@ -24,7 +24,7 @@
 
 
 def key_now(age_ms=0):
-    return f"{int(time.time() * 1_000) - age_ms}-{new_operation()}"
+    return f"{int(time.time() * 1_000) - age_ms}-{new_operation_id()}"
 
 
 async def put_in_force(made, name):
@@ -171,7 +171,7 @@
             early = established.presets.state.copy()
             await made.operator().switch("peak")
             await eventually(lambda: established.generation() == 1)
-            stale = Checkpoint(new_operation(), early.offset, early)
+            stale = Checkpoint(new_operation_id(), early.offset, early)
             for _ in range(3):  # make all other records expire
                 await established.presets.append(stale)
             without_peers = await made.host("b", retention_ms=NEVER_MS)
@@ -195,7 +195,7 @@
             await put_in_force(made, "ordinary")
             await eventually(lambda: host.generation() == 2)
             offset = await host.presets.append(
-                Checkpoint(new_operation(), stale.offset, stale)
+                Checkpoint(new_operation_id(), stale.offset, stale)
             )
             assert await host.presets.wait_offset(offset, DEADLINE_S)
             assert host.presets.in_force().name == "ordinary"
@@ -287,7 +287,7 @@
             for _ in range(4):  # make the claim expire
                 state = established.presets.state.copy()
                 await established.presets.append(
-                    Checkpoint(new_operation(), state.offset, state)
+                    Checkpoint(new_operation_id(), state.offset, state)
                 )
             newcomer = await made.host("b", retention_ms=NEVER_MS)
             await eventually(lambda: newcomer.presets.caught_up)
