--- a/src/balsamlift/presets/_peer_folds.py
+++ b/src/balsamlift/presets/_peer_state_fetcher.py
@@ -38,7 +38,7 @@
     def live(self) -> Sequence[_Peer]: ...
 
 
-class PeerFolds:
+class PeerStateFetcher:
     """Fetch the folded state of the log from peers."""
 
     def __init__(
@@ -62,7 +62,7 @@
         furthest: FoldState | None = None
         for peer in self._select_peers(offset):
             try:
-                state = await self._ask(peer, offset)
+                state = await self._fetch_from(peer, offset)
             except (CallError, msgspec.MsgspecError, ValueError) as error:
                 log.info(
                     "Could not fetch the state of peer {}: {}.",
@@ -90,7 +90,7 @@
             return []
         return peers.live()
 
-    async def _ask(self, peer: _Peer, offset: int) -> FoldState | None:
+    async def _fetch_from(self, peer: _Peer, offset: int) -> FoldState | None:
         url = f"http://{peer.operators_address}/v1/peer/fold?from={offset}"
         answer = await self._http.read(
             url,
@@ -102,15 +102,15 @@
             return None
         if answer.status != OK:
             raise CallError(url, f"answered {answer.status}", sent=True)
-        return decode_fold(answer.body)
+        return decode_state(answer.body)
 
 
-def encode_fold(state: FoldState) -> bytes:
+def encode_state(state: FoldState) -> bytes:
     """Return a state encoded as MessagePack."""
     return msgspec.msgpack.encode(state)
 
 
-def decode_fold(data: bytes) -> FoldState:
+def decode_state(data: bytes) -> FoldState:
     """Return the state that a peer sent.
 
     Raises `msgspec.MsgspecError` or `ValueError` for malformed data.
--- a/src/balsamlift/presets/_service.py
+++ b/src/balsamlift/presets/_service.py
@@ -20,7 +20,10 @@
 from balsamlift.presets._claimant import Claimant, ClaimResult
 from balsamlift.presets._claims import ClaimBounds
 from balsamlift.presets._log import LogClient
-from balsamlift.presets._peer_folds import PeerFolds, encode_fold
+from balsamlift.presets._peer_state_fetcher import (
+    PeerStateFetcher,
+    encode_state,
+)
 from balsamlift.presets._reader import Reader
 from balsamlift.presets._records import Record
 from balsamlift.presets._routes import preset_routes
@@ -73,7 +76,9 @@
         self._log = kernel.find("log", LogClient)
         self._timeline = kernel.find("timeline", Timeline)
         self._reader = Reader(self._log, self._claim_bounds)
-        self._peer_folds = PeerFolds(kernel, self._http, self._rng)
+        self._peer_state_fetcher = PeerStateFetcher(
+            kernel, self._http, self._rng
+        )
         self._checkpointer = Checkpointer(
             self._log,
             self._timeline,
@@ -149,7 +154,7 @@
         """Return the state as MessagePack, or None if not beyond `offset`."""
         if self.offset <= offset:
             return None
-        return encode_fold(self.state)
+        return encode_state(self.state)
 
     async def append(self, record: Record) -> int:
         """Append a record and return its offset.
@@ -195,7 +200,7 @@
         return self._reader.scanning and self._reader.at_end
 
     async def _ask_peers(self) -> None:
-        answered, state = await self._peer_folds.fetch(self.offset)
+        answered, state = await self._peer_state_fetcher.fetch(self.offset)
         if state is not None and self._reader.adopt(state):
             log.info("Adopted the state of a peer at offset {}.", state.offset)
         if answered and self.offset > 0 and not self._lacks_checkpoint():
--- a/tests/test_slow_answers.py
+++ b/tests/test_slow_answers.py
@@ -14,13 +14,16 @@
 from tornado.netutil import bind_sockets
 from tornado.web import Application, RequestHandler
 
-import balsamlift.presets._peer_folds as peer_folds_module
+import balsamlift.presets._peer_state_fetcher as peer_state_fetcher_module
 from balsamlift._http import HttpClient
 from balsamlift.clock import SystemClock
 from balsamlift.kernel import Kernel
 from balsamlift.peers._hosts_list import HostsList
 from balsamlift.presets._log import LogClient
-from balsamlift.presets._peer_folds import PeerFolds, encode_fold
+from balsamlift.presets._peer_state_fetcher import (
+    PeerStateFetcher,
+    encode_state,
+)
 from balsamlift.presets._state import Change, FoldState
 
 SILENCE_MS = 300
@@ -53,8 +56,8 @@
     class Peer:
         host, operators_address, offset = "h-1", address, 9
 
-    folds = PeerFolds(Kernel(), http, random.Random(1))
-    return await folds._ask(Peer(), 0)
+    fetcher = PeerStateFetcher(Kernel(), http, random.Random(1))
+    return await fetcher._fetch_from(Peer(), 0)
 
 
 async def read_log(address: str, http: HttpClient) -> object:
@@ -71,7 +74,7 @@
 FOLD = FoldState(history=[Change(n, "name", n, n, n) for n in range(3_000)])
 BODIES = {
     "/v1/hosts": encode_padded(HOSTS),
-    "/v1/peer/fold": encode_fold(FOLD),
+    "/v1/peer/fold": encode_state(FOLD),
     "/v1/log/read": encode_padded({"earliest": 0, "next": 0, "records": []}),
 }
 
@@ -80,7 +83,7 @@
 def test_a_large_answer_may_take_longer_than_the_silence_limit(
     read: Read, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(peer_folds_module, "SILENCE_MS", SILENCE_MS)
+    monkeypatch.setattr(peer_state_fetcher_module, "SILENCE_MS", SILENCE_MS)
 
     async def main() -> None:
         routes = [
