--- a/bench/fold_cost.py
+++ b/bench/fold_cost.py
@@ -98,7 +98,7 @@
 
 def claimed(count: int) -> ClaimWindow:
     """Return a window that holds so many claims."""
-    window = ClaimWindow(ClaimBounds(kept=count))
+    window = ClaimWindow(ClaimBounds(max_keys=count))
     for entry in entries(claims(count)):
         window.fold(entry)
     return window
--- a/src/balsamlift/presets/_claims.py
+++ b/src/balsamlift/presets/_claims.py
@@ -18,12 +18,12 @@
 class ClaimBounds:
     """Limit which claims are kept; every host must use the same limits.
 
-    `age_ms` must be well below the retention time of the log.
+    `max_age_ms` must be well below the retention time of the log.
     """
 
-    age_ms: int = 300_000
-    ahead_ms: int = 10_000  # how far a key's time may lie in the future
-    kept: int = 50_000  # beyond it, the oldest keys are rejected
+    max_age_ms: int = 300_000
+    max_ahead_ms: int = 10_000  # how far a key's time may lie in the future
+    max_keys: int = 50_000  # beyond it, the oldest keys are rejected
 
 
 @attrs.frozen
@@ -76,7 +76,7 @@
             self._complete_from_ms = (
                 -math.inf if entry.offset == 0 else self._time_ms
             )
-        self._raise_low_watermark(self._time_ms - self._bounds.age_ms - 1)
+        self._raise_low_watermark(self._time_ms - self._bounds.max_age_ms - 1)
         if isinstance(entry.record, Claim):
             self._apply_claim(entry.offset, entry.record)
 
@@ -90,15 +90,15 @@
 
     def is_too_new(self, key_ms: int) -> bool:
         """Return whether `key_ms` lies too far in the future to claim."""
-        return key_ms > self._time_ms + self._bounds.ahead_ms
+        return key_ms > self._time_ms + self._bounds.max_ahead_ms
 
     def is_complete_for(self, key_ms: int) -> bool:
         """Return whether all claims of keys created at `key_ms` are known.
 
-        A claim that was logged more than `ahead_ms` before the creation
+        A claim that was logged more than `max_ahead_ms` before the creation
         time of its key is ignored, so earlier entries are not needed.
         """
-        return key_ms - self._bounds.ahead_ms > self._complete_from_ms
+        return key_ms - self._bounds.max_ahead_ms > self._complete_from_ms
 
     def _apply_claim(self, offset: int, claim: Claim) -> None:
         key_ms = created_ms(claim.key)
@@ -109,7 +109,7 @@
         host = sys.intern(claim.host)  # share one string among its claims
         self._winners[claim.key] = WinningClaim(claim.op, host, offset)
         heapq.heappush(self._oldest_first, (key_ms, claim.key))
-        if len(self._winners) > self._bounds.kept:
+        if len(self._winners) > self._bounds.max_keys:
             self._raise_low_watermark(self._oldest_first[0][0])
 
     def _raise_low_watermark(self, watermark_ms: int) -> None:
--- a/tests/presets_bench.py
+++ b/tests/presets_bench.py
@@ -162,4 +162,4 @@
             await asyncio.sleep(0.01)
 
 
-BOUNDS = ClaimBounds(age_ms=60_000, ahead_ms=200, kept=1_000)
+BOUNDS = ClaimBounds(max_age_ms=60_000, max_ahead_ms=200, max_keys=1_000)
--- a/tests/test_presets_fold.py
+++ b/tests/test_presets_fold.py
@@ -321,11 +321,11 @@
 
 def test_claims_are_bounded_and_forgotten_keys_cannot_be_won_again():
     window = ClaimWindow(BOUNDS)
-    keys = [f"{START_MS + i}-abcdefgh" for i in range(BOUNDS.kept + 50)]
+    keys = [f"{START_MS + i}-abcdefgh" for i in range(BOUNDS.max_keys + 50)]
     at_ms = START_MS + len(keys)
     for i, key in enumerate(keys):
         window.fold(Entry(i, at_ms, Claim(f"o{i}", key, "a")))
-    assert len(window) == BOUNDS.kept
+    assert len(window) == BOUNDS.max_keys
     again = len(keys)
     window.fold(Entry(again, at_ms, Claim("again", keys[0], "b")))
     assert window.winner(keys[0]) is None
@@ -369,10 +369,10 @@
     ("key_ms", "wins"),
     [
         (START_MS, True),
-        (START_MS + BOUNDS.ahead_ms, True),
-        (START_MS + BOUNDS.ahead_ms + 1, False),
-        (START_MS - BOUNDS.age_ms, True),
-        (START_MS - BOUNDS.age_ms - 1, False),
+        (START_MS + BOUNDS.max_ahead_ms, True),
+        (START_MS + BOUNDS.max_ahead_ms + 1, False),
+        (START_MS - BOUNDS.max_age_ms, True),
+        (START_MS - BOUNDS.max_age_ms - 1, False),
     ],
 )
 def test_claim_wins_only_while_its_key_is_in_the_window(key_ms, wins):
@@ -385,7 +385,7 @@
     window = ClaimWindow(BOUNDS)
     assert not window.is_complete_for(START_MS)
     window.fold(Entry(7, START_MS, None))
-    assert not window.is_complete_for(START_MS + BOUNDS.ahead_ms)
-    assert window.is_complete_for(START_MS + BOUNDS.ahead_ms + 1)
+    assert not window.is_complete_for(START_MS + BOUNDS.max_ahead_ms)
+    assert window.is_complete_for(START_MS + BOUNDS.max_ahead_ms + 1)
     window.mark_gap()
     assert not window.is_complete_for(10**12)
--- a/tests/test_presets_service.py
+++ b/tests/test_presets_service.py
@@ -303,7 +303,7 @@
     [
         (lambda: "no-time", KeyFormatError),
         (lambda: key_now(-60_000), KeyFormatError),
-        (lambda: key_now(BOUNDS.age_ms + 60_000), KeyTooOldError),
+        (lambda: key_now(BOUNDS.max_age_ms + 60_000), KeyTooOldError),
     ],
 )
 def test_claim_of_a_key_outside_the_window_is_an_error(key, error):
