--- a/src/balsamlift/presets/_fold.py
+++ b/src/balsamlift/presets/_fold.py
@@ -11,7 +11,7 @@
     Switch,
 )
 from balsamlift.presets._state import (
-    Change,
+    AcceptedSwitch,
     CheckpointReference,
     FoldState,
     InForce,
@@ -97,8 +97,8 @@
     state.in_force = InForce(
         generation, name, version, offset, published.preset
     )
-    change = Change(generation, name, version, offset, state.time_ms)
-    state.history.append(change)
+    accepted = AcceptedSwitch(generation, name, version, offset, state.time_ms)
+    state.history.append(accepted)
     del state.history[:-MAX_HISTORY_ENTRIES]
 
 
--- a/src/balsamlift/presets/_routes.py
+++ b/src/balsamlift/presets/_routes.py
@@ -8,7 +8,7 @@
 
 from balsamlift.operators import JsonHandler, Routes
 from balsamlift.presets._preset import Preset
-from balsamlift.presets._state import Change, FoldState
+from balsamlift.presets._state import AcceptedSwitch, FoldState
 
 NO_CONTENT = 204
 BAD_REQUEST = 400
@@ -35,7 +35,7 @@
     caught_up: bool
     log_is_up: bool
     presets: list[PublishedView]
-    history: list[Change]
+    history: list[AcceptedSwitch]
 
 
 class KnownPresets(Protocol):
--- a/src/balsamlift/presets/_state.py
+++ b/src/balsamlift/presets/_state.py
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen
-class Change:
+class AcceptedSwitch:
     """Hold one accepted switch, for the history."""
 
     generation: int
@@ -86,7 +86,7 @@
     time_ms: int = 0  # the latest time seen on the log's clock
     presets: dict[str, PublishedPreset] = attrs.field(factory=dict)
     in_force: InForce | None = None
-    history: list[Change] = attrs.field(factory=list)  # newest last
+    history: list[AcceptedSwitch] = attrs.field(factory=list)  # newest last
     outcomes: dict[str, Outcome] = attrs.field(factory=dict)  # by operation id
     lease: LeaseInForce | None = None
     checkpoint: CheckpointReference | None = None
--- a/tests/test_slow_answers.py
+++ b/tests/test_slow_answers.py
@@ -24,7 +24,7 @@
     PeerStateFetcher,
     encode_state,
 )
-from balsamlift.presets._state import Change, FoldState
+from balsamlift.presets._state import AcceptedSwitch, FoldState
 
 SILENCE_MS = 300
 CHUNKS = 10
@@ -71,7 +71,9 @@
 
 
 HOSTS = {"hosts": [{"name": "h-1", "role": "entry"}]}
-FOLD = FoldState(history=[Change(n, "name", n, n, n) for n in range(3_000)])
+FOLD = FoldState(
+    history=[AcceptedSwitch(n, "name", n, n, n) for n in range(3_000)]
+)
 BODIES = {
     "/v1/hosts": encode_padded(HOSTS),
     "/v1/peer/fold": encode_state(FOLD),
