--- a/src/balsamlift/orders/_service.py
+++ b/src/balsamlift/orders/_service.py
@@ -188,4 +188,4 @@
             log.info("Could not append the lease: {}.", error)
             await self._clock.sleep(self._rng.uniform(0.5, 1.0))
             return
-        await self._presets.wait_offset(offset, FOLD_WAIT_S)
+        await self._presets.wait_until_folded(offset, FOLD_WAIT_S)
--- a/src/balsamlift/presets/_service.py
+++ b/src/balsamlift/presets/_service.py
@@ -142,7 +142,7 @@
         """Call `callback` whenever a new generation comes into force."""
         self._callbacks.append(callback)
 
-    async def wait_offset(
+    async def wait_until_folded(
         self, offset: int, timeout_s: float | None = None
     ) -> bool:
         """Wait until the entry at `offset` is folded; False on timeout."""
--- a/tests/test_presets_service.py
+++ b/tests/test_presets_service.py
@@ -156,7 +156,7 @@
             await eventually(lambda: newcomer.presets.caught_up)
             assert newcomer.generation() == 1
             offset = newcomer.presets.offset
-            assert await established.presets.wait_offset(
+            assert await established.presets.wait_until_folded(
                 offset - 1, DEADLINE_S
             )
 
@@ -197,7 +197,7 @@
             offset = await host.presets.append(
                 Checkpoint(new_operation_id(), stale.offset, stale)
             )
-            assert await host.presets.wait_offset(offset, DEADLINE_S)
+            assert await host.presets.wait_until_folded(offset, DEADLINE_S)
             assert host.presets.in_force().name == "ordinary"
             newcomer = await made.host("b", retention_ms=NEVER_MS)
             await eventually(lambda: newcomer.presets.caught_up)
