--- a/src/balsamlift/orders/_service.py
+++ b/src/balsamlift/orders/_service.py
@@ -20,7 +20,7 @@
     ReconcilerContext,
 )
 from balsamlift.peers import Peers, Upstreams
-from balsamlift.presets import InForce, Lease, Presets, new_operation_id
+from balsamlift.presets import Lease, PresetInForce, Presets, new_operation_id
 from balsamlift.settings import OrderSettings
 from balsamlift.timeline import Timeline
 
@@ -123,7 +123,7 @@
         log.info("The lease on orders is {}.", "ours" if holds else "lost")
         self._timeline.record(kind, fence=self._lease.offset)
 
-    def _start_reconcilers(self, in_force: InForce) -> None:
+    def _start_reconcilers(self, in_force: PresetInForce) -> None:
         for pool in in_force.preset.pools:
             running = self._reconcilers.get(pool)
             if running is None or running.done():
@@ -139,7 +139,7 @@
             generation=in_force.generation, pool=in_force.preset.pools[pool]
         )
 
-    def _start_append_if_due(self, in_force: InForce) -> None:
+    def _start_append_if_due(self, in_force: PresetInForce) -> None:
         if self._append_task is not None and not self._append_task.done():
             return
         if self._peers.leaving or not self._presets.log_is_up:
@@ -147,7 +147,7 @@
         if self._needs_renewal(in_force) or self._should_take():
             self._append_task = asyncio.create_task(self._append())
 
-    def _needs_renewal(self, in_force: InForce) -> bool:
+    def _needs_renewal(self, in_force: PresetInForce) -> bool:
         if not self.holds_lease:
             return False
         expires_soon = (
--- a/src/balsamlift/presets/__init__.py
+++ b/src/balsamlift/presets/__init__.py
@@ -25,7 +25,7 @@
     new_operation_id,
 )
 from balsamlift.presets._service import Presets
-from balsamlift.presets._state import FoldState, InForce, LeaseInForce
+from balsamlift.presets._state import FoldState, LeaseInForce, PresetInForce
 
 __all__ = [
     "Batch",
@@ -35,7 +35,6 @@
     "ClaimResult",
     "Entry",
     "FoldState",
-    "InForce",
     "KindPreset",
     "Lease",
     "LeaseInForce",
@@ -44,6 +43,7 @@
     "Operator",
     "PoolPreset",
     "Preset",
+    "PresetInForce",
     "Presets",
     "Publish",
     "Record",
--- a/src/balsamlift/presets/_fold.py
+++ b/src/balsamlift/presets/_fold.py
@@ -14,9 +14,9 @@
     AcceptedSwitch,
     CheckpointReference,
     FoldState,
-    InForce,
     LeaseInForce,
     Outcome,
+    PresetInForce,
     PublishedPreset,
     Verdict,
 )
@@ -94,7 +94,7 @@
     name = published.preset.name
     generation = state.generation + 1
     version = published.version
-    state.in_force = InForce(
+    state.in_force = PresetInForce(
         generation, name, version, offset, published.preset
     )
     accepted = AcceptedSwitch(generation, name, version, offset, state.time_ms)
--- a/src/balsamlift/presets/_service.py
+++ b/src/balsamlift/presets/_service.py
@@ -27,7 +27,7 @@
 from balsamlift.presets._reader import Reader
 from balsamlift.presets._records import Record
 from balsamlift.presets._routes import preset_routes
-from balsamlift.presets._state import FoldState, InForce, LeaseInForce
+from balsamlift.presets._state import FoldState, LeaseInForce, PresetInForce
 from balsamlift.timeline import Timeline
 
 log = logger.bind(part="presets")
@@ -130,7 +130,7 @@
         """Return whether the last read of the log succeeded."""
         return self._back_off.limit_ms == 0
 
-    def in_force(self) -> InForce | None:
+    def in_force(self) -> PresetInForce | None:
         """Return the preset in force, or None before the first switch."""
         return self.state.in_force
 
--- a/src/balsamlift/presets/_state.py
+++ b/src/balsamlift/presets/_state.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class InForce:
+class PresetInForce:
     """Hold the preset in force.
 
     Publishing a new version does not change it; only a switch does.
@@ -85,7 +85,7 @@
     offset: int = attrs.field(default=0, validator=attrs.validators.ge(0))
     time_ms: int = 0  # the latest time seen on the log's clock
     presets: dict[str, PublishedPreset] = attrs.field(factory=dict)
-    in_force: InForce | None = None
+    in_force: PresetInForce | None = None
     history: list[AcceptedSwitch] = attrs.field(factory=list)  # newest last
     outcomes: dict[str, Outcome] = attrs.field(factory=dict)  # by operation id
     lease: LeaseInForce | None = None
--- a/src/balsamlift/requests/_terms.py
+++ b/src/balsamlift/requests/_terms.py
@@ -9,7 +9,12 @@
 
 from balsamlift.exceptions import RefusedError
 from balsamlift.placement import PlacementRequest
-from balsamlift.presets import InForce, KindPreset, Preset, WorkspacePreset
+from balsamlift.presets import (
+    KindPreset,
+    Preset,
+    PresetInForce,
+    WorkspacePreset,
+)
 from balsamlift.requests._errors import (
     KindUnknownError,
     TokenWrongError,
@@ -27,7 +32,7 @@
 class Terms:
     """Hold the terms of a request: those of its admission, to its end."""
 
-    in_force: InForce
+    in_force: PresetInForce
     kind: KindPreset
     model: str  # that the pool shall run; "" where the preset names none
     weight: float  # of the workspace
