--- a/tests/_orders_harness.py
+++ b/tests/_orders_harness.py
@@ -5,7 +5,7 @@
 from contextlib import asynccontextmanager
 
 import attrs
-from presets_bench import deployment, make_preset
+from _presets_harness import make_preset, run_deployment
 
 from balsamlift.clock import SystemClock
 from balsamlift.kernel import Kernel
@@ -166,7 +166,7 @@
 @asynccontextmanager
 async def run_cluster(engines=1, checks_fence=True, load_ms=20):
     """Run a platform and engines; stop them at the end."""
-    async with deployment(weight_loads_per_s=100.0) as preset_deployment:
+    async with run_deployment(weight_loads_per_s=100.0) as preset_deployment:
         running = [
             Engine(
                 EngineSettings(
--- a/tests/presets_bench.py
+++ b/tests/_presets_harness.py
@@ -143,16 +143,16 @@
 
 
 @asynccontextmanager
-async def deployment(**settings: Any) -> AsyncIterator[Deployment]:
+async def run_deployment(**settings: Any) -> AsyncIterator[Deployment]:
     """Run a platform and stop it, and the hosts on it, at the end."""
-    made = Deployment(**settings)
-    await made.platform.start()
+    deployment = Deployment(**settings)
+    await deployment.platform.start()
     try:
-        yield made
+        yield deployment
     finally:
-        for host in made.hosts:
+        for host in deployment.hosts:
             await host.stop()
-        await made.platform.stop()
+        await deployment.platform.stop()
 
 
 async def eventually(predicate: Callable[[], bool]) -> None:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -2,7 +2,7 @@
 
 import pytest
 from _orders_harness import SETTINGS, run_cluster
-from presets_bench import eventually
+from _presets_harness import eventually
 
 from balsamlift.orders._lease import LeaseView
 from balsamlift.presets import LeaseInForce
--- a/tests/test_presets_claimant.py
+++ b/tests/test_presets_claimant.py
@@ -1,7 +1,7 @@
 import asyncio
 
 import pytest
-from presets_bench import BOUNDS
+from _presets_harness import BOUNDS
 from test_presets_fold import START_MS, MemoryLog, key_at, run_to_end
 
 from balsamlift.exceptions import LogUnavailableError, RefusedError
--- a/tests/test_presets_fold.py
+++ b/tests/test_presets_fold.py
@@ -1,6 +1,7 @@
 import asyncio
 
 import pytest
+from _presets_harness import BOUNDS, make_preset
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import (
@@ -10,7 +11,6 @@
     rule,
     run_state_machine_as_test,
 )
-from presets_bench import BOUNDS, make_preset
 
 from balsamlift.exceptions import OffsetGapError
 from balsamlift.presets import (
--- a/tests/test_presets_log.py
+++ b/tests/test_presets_log.py
@@ -3,7 +3,7 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from presets_bench import SILENCE_MS, deployment
+from _presets_harness import SILENCE_MS, run_deployment
 
 from balsamlift._back_off import MOST_MS, BackOff
 from balsamlift._http import HttpClient
@@ -35,10 +35,10 @@
 def run_with_client(body, **settings):
     async def main():
         async with (
-            deployment(**settings) as made,
-            running_client(made.address) as client,
+            run_deployment(**settings) as deployment,
+            running_client(deployment.address) as client,
         ):
-            await body(made, client)
+            await body(deployment, client)
 
     asyncio.run(main())
 
@@ -58,14 +58,14 @@
 
 
 def test_concurrent_callers_share_appends():
-    async def body(made, client):
+    async def body(deployment, client):
         records = [claim(i) for i in range(400)]
         answers = await asyncio.gather(
             *(client.append([record]) for record in records)
         )
         offsets = [offset for [offset] in answers]
         assert offsets == sorted(set(offsets))
-        assert made.platform.counts["appends"] < 20
+        assert deployment.platform.counts["appends"] < 20
         batch = await client.read(0)
         assert [entry.record for entry in batch.entries] == records
 
@@ -73,22 +73,22 @@
 
 
 def test_append_waits_until_the_rate_limit_allows_it():
-    async def body(made, client):
+    async def body(deployment, client):
         offsets = [await client.append([claim(i)]) for i in range(12)]
         assert offsets == [[i] for i in range(12)]
-        assert made.platform.counts["appends_limited"] > 0
+        assert deployment.platform.counts["appends_limited"] > 0
 
     run_with_client(body, log_appends_per_s=8.0)
 
 
 @pytest.mark.parametrize("answer", ["silent", "503"])
 def test_append_with_a_lost_answer_raises_but_is_on_the_log(answer):
-    async def body(made, client):
-        made.fault(lose_answers=answer)
+    async def body(deployment, client):
+        deployment.fault(lose_answers=answer)
         with pytest.raises(LogUnavailableError) as caught:
             await client.append([claim(1)])
         assert not isinstance(caught.value, LogBlockedError)
-        assert made.platform.counts["appends"] == 1
+        assert deployment.platform.counts["appends"] == 1
         batch = await client.read(0)
         assert [entry.record for entry in batch.entries] == [claim(1)]
 
@@ -96,14 +96,14 @@
 
 
 def test_appends_are_blocked_during_back_off_then_succeed():
-    async def body(made, client):
-        made.fault(down=True)
+    async def body(deployment, client):
+        deployment.fault(down=True)
         with pytest.raises(LogUnavailableError):
             await client.append([claim(1)])
         assert client.retry_after_ms > 0
         with pytest.raises(LogBlockedError):
             await client.append([claim(2)])
-        made.fault(down=False)
+        deployment.fault(down=False)
         assert await append_when_unblocked(client, claim(3)) == [0]
         assert client.retry_after_ms == 0
 
@@ -111,15 +111,15 @@
 
 
 def test_silent_log_times_out_and_a_new_connection_works():
-    async def body(made, client):
+    async def body(deployment, client):
         await client.append([claim(0)])
-        made.fault(silent=True)
+        deployment.fault(silent=True)
         with pytest.raises(LogUnavailableError):
             await client.read(0)
         with pytest.raises(LogUnavailableError):
             await client.append([claim(1)])
         assert client.retry_after_ms > 0
-        made.fault(silent=False)
+        deployment.fault(silent=False)
         batch = await client.read(0)
         assert batch.next == 1
         assert await append_when_unblocked(client, claim(2)) == [1]
@@ -128,8 +128,8 @@
 
 
 def test_log_slower_than_the_minimum_timeout_is_waited_for():
-    async def body(made, client):
-        made.fault(slow_ms=int(SILENCE_MS * 1.5))
+    async def body(deployment, client):
+        deployment.fault(slow_ms=int(SILENCE_MS * 1.5))
         with pytest.raises(LogUnavailableError):
             await client.read(0)
         for _ in range(2):
@@ -143,8 +143,8 @@
 
 @pytest.mark.parametrize("call", ["read", "append"])
 def test_one_timeout_abandons_all_silent_connections(call):
-    async def body(made, _):
-        link = Link(LinkSettings(target_address=made.address))
+    async def body(deployment, _):
+        link = Link(LinkSettings(target_address=deployment.address))
         await link.start()
         async with running_client(link.ready()["address"]) as client:
             await open_connections(client, 4)
@@ -163,7 +163,7 @@
 
 
 def test_long_poll_answers_when_something_is_appended():
-    async def body(made, client):
+    async def body(deployment, client):
         reading = asyncio.create_task(client.read(0, wait_ms=15_000))
         await asyncio.sleep(0)
         await client.append([claim(0)])
@@ -174,8 +174,8 @@
 
 
 def test_pending_appends_fail_when_the_client_stops():
-    async def body(made, client):
-        made.fault(silent=True)
+    async def body(deployment, client):
+        deployment.fault(silent=True)
         first = asyncio.create_task(client.append([claim(0)]))
         await asyncio.sleep(0.05)
         second = asyncio.create_task(client.append([claim(1)]))
--- a/tests/test_presets_service.py
+++ b/tests/test_presets_service.py
@@ -2,12 +2,12 @@
 import time
 
 import pytest
-from presets_bench import (
+from _presets_harness import (
     BOUNDS,
     DEADLINE_S,
-    deployment,
     eventually,
     make_preset,
+    run_deployment,
 )
 
 from balsamlift.exceptions import (
@@ -27,9 +27,9 @@
     return f"{int(time.time() * 1_000) - age_ms}-{new_operation_id()}"
 
 
-async def put_in_force(made, name):
-    await made.operator().publish(make_preset(name))
-    result = await made.operator().switch(name)
+async def put_in_force(deployment, name):
+    await deployment.operator().publish(make_preset(name))
+    result = await deployment.operator().switch(name)
     assert result.state == "accepted"
     return result.generation
 
@@ -40,14 +40,15 @@
 
 def test_change_reaches_every_host_and_calls_its_callbacks():
     async def main():
-        async with deployment() as made:
-            hosts = [await made.host(name) for name in "abc"]
+        async with run_deployment() as deployment:
+            hosts = [await deployment.host(name) for name in "abc"]
             seen = []
             hosts[0].presets.on_change(
                 lambda: seen.append(hosts[0].generation())
             )
             generations = [
-                await put_in_force(made, name) for name in ("peak", "ordinary")
+                await put_in_force(deployment, name)
+                for name in ("peak", "ordinary")
             ]
             for host in hosts:
                 await eventually(lambda host=host: host.generation() == 2)
@@ -61,15 +62,15 @@
 
 def test_preset_stays_in_force_during_and_after_a_log_outage():
     async def main():
-        async with deployment() as made:
-            host = await made.host("a")
-            await put_in_force(made, "peak")
+        async with run_deployment() as deployment:
+            host = await deployment.host("a")
+            await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
-            made.fault(down=True)
+            deployment.fault(down=True)
             await eventually(lambda: not host.presets.log_is_up)
             assert host.presets.in_force().name == "peak"
-            made.fault(down=False)
-            await put_in_force(made, "ordinary")
+            deployment.fault(down=False)
+            await put_in_force(deployment, "ordinary")
             await eventually(lambda: host.generation() == 2)
             assert event_kinds(host) == [
                 "preset_in_force",
@@ -83,14 +84,16 @@
 
 def test_host_that_cannot_reach_the_log_follows_a_peer():
     async def main():
-        async with deployment() as made:
-            connected = await made.host("a")
-            isolated = await made.host("b", log_address=UNREACHABLE_ADDRESS)
+        async with run_deployment() as deployment:
+            connected = await deployment.host("a")
+            isolated = await deployment.host(
+                "b", log_address=UNREACHABLE_ADDRESS
+            )
             isolated.know(connected)
-            await put_in_force(made, "peak")
+            await put_in_force(deployment, "peak")
             await eventually(lambda: isolated.generation() == 1)
             assert isolated.presets.caught_up
-            await put_in_force(made, "ordinary")
+            await put_in_force(deployment, "ordinary")
             await eventually(lambda: isolated.generation() == 2)
 
     asyncio.run(main())
@@ -98,23 +101,23 @@
 
 def test_host_whose_connection_to_the_log_stalls_follows_a_peer():
     async def main():
-        async with deployment() as made:
-            link = Link(LinkSettings(target_address=made.address))
+        async with run_deployment() as deployment:
+            link = Link(LinkSettings(target_address=deployment.address))
             await link.start()
-            connected = await made.host("a")
-            isolated = await made.host(
+            connected = await deployment.host("a")
+            isolated = await deployment.host(
                 "b", log_address=link.ready()["address"]
             )
             isolated.know(connected)
-            await put_in_force(made, "peak")
+            await put_in_force(deployment, "peak")
             await eventually(lambda: isolated.generation() == 1)
             link.control.update({"stall_forward": True})
-            await put_in_force(made, "ordinary")
+            await put_in_force(deployment, "ordinary")
             await eventually(lambda: isolated.generation() == 2)
             assert "log_down" in event_kinds(isolated)
             link.control.update({"stall_forward": False})
             await eventually(lambda: isolated.presets.log_is_up)
-            await put_in_force(made, "peak")
+            await put_in_force(deployment, "peak")
             await eventually(lambda: isolated.generation() == 3)
             await link.stop()
 
@@ -123,14 +126,14 @@
 
 def test_newcomer_without_log_and_peers_is_not_caught_up():
     async def main():
-        async with deployment() as made:
-            await put_in_force(made, "peak")
-            made.fault(down=True)
-            newcomer = await made.host("b")
+        async with run_deployment() as deployment:
+            await put_in_force(deployment, "peak")
+            deployment.fault(down=True)
+            newcomer = await deployment.host("b")
             await eventually(lambda: not newcomer.presets.log_is_up)
             assert not newcomer.presets.caught_up
             assert newcomer.presets.in_force() is None
-            made.fault(down=False)
+            deployment.fault(down=False)
             await eventually(lambda: newcomer.presets.caught_up)
             assert newcomer.generation() == 1
 
@@ -139,9 +142,9 @@
 
 def test_newcomer_starts_from_a_checkpoint_when_records_expired():
     async def main():
-        async with deployment(log_retention_records=3) as made:
-            established = await made.host("a", retention_ms=1_000)
-            await put_in_force(made, "peak")
+        async with run_deployment(log_retention_records=3) as deployment:
+            established = await deployment.host("a", retention_ms=1_000)
+            await put_in_force(deployment, "peak")
             await eventually(
                 lambda: event_kinds(established).count("checkpoint") > 0
             )
@@ -149,10 +152,10 @@
             await eventually(
                 lambda: (
                     established.presets.state.checkpoint is not newest
-                    and made.platform.store.read(0, 1).earliest > 1
+                    and deployment.platform.store.read(0, 1).earliest > 1
                 )
             )
-            newcomer = await made.host("b", retention_ms=NEVER_MS)
+            newcomer = await deployment.host("b", retention_ms=NEVER_MS)
             await eventually(lambda: newcomer.presets.caught_up)
             assert newcomer.generation() == 1
             offset = newcomer.presets.offset
@@ -165,17 +168,17 @@
 
 def test_newcomer_without_a_usable_checkpoint_asks_a_peer():
     async def main():
-        async with deployment(log_retention_records=3) as made:
-            established = await made.host("a", retention_ms=NEVER_MS)
-            await made.operator().publish(make_preset("peak"))
+        async with run_deployment(log_retention_records=3) as deployment:
+            established = await deployment.host("a", retention_ms=NEVER_MS)
+            await deployment.operator().publish(make_preset("peak"))
             early = established.presets.state.copy()
-            await made.operator().switch("peak")
+            await deployment.operator().switch("peak")
             await eventually(lambda: established.generation() == 1)
             stale = Checkpoint(new_operation_id(), early.offset, early)
             for _ in range(3):  # make all other records expire
                 await established.presets.append(stale)
-            without_peers = await made.host("b", retention_ms=NEVER_MS)
-            with_peer = await made.host("c", retention_ms=NEVER_MS)
+            without_peers = await deployment.host("b", retention_ms=NEVER_MS)
+            with_peer = await deployment.host("c", retention_ms=NEVER_MS)
             with_peer.know(established)
             await eventually(lambda: with_peer.presets.caught_up)
             assert with_peer.generation() == 1
@@ -187,19 +190,19 @@
 
 def test_stale_checkpoint_reverts_no_host():
     async def main():
-        async with deployment() as made:
-            host = await made.host("a", retention_ms=NEVER_MS)
-            await put_in_force(made, "peak")
+        async with run_deployment() as deployment:
+            host = await deployment.host("a", retention_ms=NEVER_MS)
+            await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
             stale = host.presets.state.copy()
-            await put_in_force(made, "ordinary")
+            await put_in_force(deployment, "ordinary")
             await eventually(lambda: host.generation() == 2)
             offset = await host.presets.append(
                 Checkpoint(new_operation_id(), stale.offset, stale)
             )
             assert await host.presets.wait_until_folded(offset, DEADLINE_S)
             assert host.presets.in_force().name == "ordinary"
-            newcomer = await made.host("b", retention_ms=NEVER_MS)
+            newcomer = await deployment.host("b", retention_ms=NEVER_MS)
             await eventually(lambda: newcomer.presets.caught_up)
             assert newcomer.presets.in_force().name == "ordinary"
 
@@ -208,9 +211,9 @@
 
 def test_state_is_served_only_if_beyond_the_requested_offset():
     async def main():
-        async with deployment() as made:
-            host = await made.host("a")
-            await put_in_force(made, "peak")
+        async with run_deployment() as deployment:
+            host = await deployment.host("a")
+            await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
             url = f"http://{host.operators.address}/v1/peer/fold?from="
             statuses = [
@@ -224,12 +227,15 @@
 
 def test_first_claim_wins_on_every_host():
     async def main():
-        async with deployment() as made:
+        async with run_deployment() as deployment:
             hosts = [
-                await made.host(name, claim_bounds=BOUNDS) for name in "abc"
+                await deployment.host(name, claim_bounds=BOUNDS)
+                for name in "abc"
             ]
             await eventually(lambda: all(h.presets.caught_up for h in hosts))
-            await put_in_force(made, "peak")  # claims are complete from here
+            await put_in_force(
+                deployment, "peak"
+            )  # claims are complete from here
             keys = [key_now() for _ in range(40)]
             claims = [
                 host.presets.claim(key) for key in keys for host in hosts
@@ -248,25 +254,25 @@
 @pytest.mark.parametrize("answer", ["silent", "503"])
 def test_claim_with_a_lost_answer_is_won_by_reading_the_log(answer):
     async def main():
-        async with deployment() as made:
-            host = await made.host("a", claim_bounds=BOUNDS)
-            await put_in_force(made, "peak")
+        async with run_deployment() as deployment:
+            host = await deployment.host("a", claim_bounds=BOUNDS)
+            await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
-            made.fault(lose_answers=answer)
+            deployment.fault(lose_answers=answer)
             result = await host.presets.claim(key_now())
             assert result.state == "won"
-            assert made.platform.counts["appends"] == 3
+            assert deployment.platform.counts["appends"] == 3
 
     asyncio.run(main())
 
 
 def test_claim_is_refused_while_the_log_is_down():
     async def main():
-        async with deployment() as made:
-            host = await made.host("a", claim_bounds=BOUNDS)
-            await put_in_force(made, "peak")
+        async with run_deployment() as deployment:
+            host = await deployment.host("a", claim_bounds=BOUNDS)
+            await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
-            made.fault(down=True)
+            deployment.fault(down=True)
             await eventually(lambda: not host.presets.log_is_up)
             with pytest.raises(RefusedError) as caught:
                 await host.presets.claim(key_now())
@@ -278,9 +284,9 @@
 
 def test_claim_is_refused_where_earlier_claims_may_be_missing():
     async def main():
-        async with deployment(log_retention_records=4) as made:
-            established = await made.host("a", retention_ms=NEVER_MS)
-            await put_in_force(made, "peak")
+        async with run_deployment(log_retention_records=4) as deployment:
+            established = await deployment.host("a", retention_ms=NEVER_MS)
+            await put_in_force(deployment, "peak")
             await eventually(lambda: established.generation() == 1)
             key = key_now()
             assert await established.presets.claim(key)
@@ -289,7 +295,7 @@
                 await established.presets.append(
                     Checkpoint(new_operation_id(), state.offset, state)
                 )
-            newcomer = await made.host("b", retention_ms=NEVER_MS)
+            newcomer = await deployment.host("b", retention_ms=NEVER_MS)
             await eventually(lambda: newcomer.presets.caught_up)
             with pytest.raises(RefusedError) as caught:
                 await newcomer.presets.claim(key)
@@ -308,9 +314,9 @@
 )
 def test_claim_of_a_key_outside_the_window_is_an_error(key, error):
     async def main():
-        async with deployment() as made:
-            host = await made.host("a", claim_bounds=BOUNDS)
-            await put_in_force(made, "peak")
+        async with run_deployment() as deployment:
+            host = await deployment.host("a", claim_bounds=BOUNDS)
+            await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
             with pytest.raises(error):
                 await host.presets.claim(key())
