--- a/tests/_presets_harness.py
+++ b/tests/_presets_harness.py
@@ -61,7 +61,7 @@
         self.known: list[Peer] = []
 
     def live(self) -> list[Peer]:
-        """Return the peers that `Host.know` has set."""
+        """Return the peers that `Host.set_live_peers` has set."""
         return self.known
 
     async def start(self, kernel: Kernel) -> None:
@@ -105,7 +105,7 @@
         await self.kernel.stop()
         self.http.close()
 
-    def know(self, *others: "Host") -> None:
+    def set_live_peers(self, *others: "Host") -> None:
         """Make these hosts the live peers of this one."""
         self.peers.known = [
             Peer(host.name, host.operators.address, host.presets)
@@ -137,7 +137,7 @@
         """Return an operator of the platform's log."""
         return Operator(self.address, silence_ms=SILENCE_MS, wait_ms=wait_ms)
 
-    def fault(self, **faults: Any) -> None:
+    def set_faults(self, **faults: Any) -> None:
         """Set some faults of the platform; others stay as they are."""
         self.platform.control.update(faults)
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -179,14 +179,14 @@
             holder = await cluster.add_host("a")
             generation = await cluster.switch_to("first")
             await eventually(lambda: cluster.all_run("first"))
-            cluster.preset_deployment.fault(down=True)
+            cluster.preset_deployment.set_faults(down=True)
             await eventually(lambda: holder.events("lease_lost"))
             sent = len(holder.events("order_sent"))
             engine.orders.take(stale_order())
             await eventually(lambda: cluster.all_run("stale"))
             assert holder.orders.fence(generation) is None
             assert len(holder.events("order_sent")) == sent
-            cluster.preset_deployment.fault(down=False)
+            cluster.preset_deployment.set_faults(down=False)
             await eventually(lambda: holder.events("order_repaired"))
             assert cluster.all_run("first")
 
--- a/tests/test_presets_log.py
+++ b/tests/test_presets_log.py
@@ -84,7 +84,7 @@
 @pytest.mark.parametrize("answer", ["silent", "503"])
 def test_append_with_a_lost_answer_raises_but_is_on_the_log(answer):
     async def body(deployment, client):
-        deployment.fault(lose_answers=answer)
+        deployment.set_faults(lose_answers=answer)
         with pytest.raises(LogUnavailableError) as caught:
             await client.append([claim(1)])
         assert not isinstance(caught.value, LogBlockedError)
@@ -97,13 +97,13 @@
 
 def test_appends_are_blocked_during_back_off_then_succeed():
     async def body(deployment, client):
-        deployment.fault(down=True)
+        deployment.set_faults(down=True)
         with pytest.raises(LogUnavailableError):
             await client.append([claim(1)])
         assert client.retry_after_ms > 0
         with pytest.raises(LogBlockedError):
             await client.append([claim(2)])
-        deployment.fault(down=False)
+        deployment.set_faults(down=False)
         assert await append_when_unblocked(client, claim(3)) == [0]
         assert client.retry_after_ms == 0
 
@@ -113,13 +113,13 @@
 def test_silent_log_times_out_and_a_new_connection_works():
     async def body(deployment, client):
         await client.append([claim(0)])
-        deployment.fault(silent=True)
+        deployment.set_faults(silent=True)
         with pytest.raises(LogUnavailableError):
             await client.read(0)
         with pytest.raises(LogUnavailableError):
             await client.append([claim(1)])
         assert client.retry_after_ms > 0
-        deployment.fault(silent=False)
+        deployment.set_faults(silent=False)
         batch = await client.read(0)
         assert batch.next == 1
         assert await append_when_unblocked(client, claim(2)) == [1]
@@ -129,7 +129,7 @@
 
 def test_log_slower_than_the_minimum_timeout_is_waited_for():
     async def body(deployment, client):
-        deployment.fault(slow_ms=int(SILENCE_MS * 1.5))
+        deployment.set_faults(slow_ms=int(SILENCE_MS * 1.5))
         with pytest.raises(LogUnavailableError):
             await client.read(0)
         for _ in range(2):
@@ -175,7 +175,7 @@
 
 def test_pending_appends_fail_when_the_client_stops():
     async def body(deployment, client):
-        deployment.fault(silent=True)
+        deployment.set_faults(silent=True)
         first = asyncio.create_task(client.append([claim(0)]))
         await asyncio.sleep(0.05)
         second = asyncio.create_task(client.append([claim(1)]))
--- a/tests/test_presets_operator.py
+++ b/tests/test_presets_operator.py
@@ -59,7 +59,7 @@
     async def main():
         async with run_deployment() as deployment:
             await deployment.operator().publish(make_preset("peak"))
-            deployment.fault(lose_answers=answer)
+            deployment.set_faults(lose_answers=answer)
             result = await deployment.operator().switch("peak", 0)
             assert (result.state, result.generation) == ("accepted", 1)
             late = await deployment.operator().switch("peak", 0)
@@ -73,7 +73,7 @@
     async def main():
         async with run_deployment() as deployment:
             operator = deployment.operator(wait_ms=700)
-            deployment.fault(late_ms=2_500)
+            deployment.set_faults(late_ms=2_500)
             result = await operator.publish(make_preset("peak"))
             assert result.state == "unknown"
             assert result.generation is None
@@ -88,7 +88,7 @@
 def test_unavailable_log_raises_and_nothing_is_appended():
     async def main():
         async with run_deployment() as deployment:
-            deployment.fault(down=True)
+            deployment.set_faults(down=True)
             operator = deployment.operator(wait_ms=500)
             with pytest.raises(LogUnreadableError):
                 await operator.publish(make_preset("peak"))
--- a/tests/test_presets_service.py
+++ b/tests/test_presets_service.py
@@ -66,10 +66,10 @@
             host = await deployment.host("a")
             await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
-            deployment.fault(down=True)
+            deployment.set_faults(down=True)
             await eventually(lambda: not host.presets.log_is_up)
             assert host.presets.in_force().name == "peak"
-            deployment.fault(down=False)
+            deployment.set_faults(down=False)
             await put_in_force(deployment, "ordinary")
             await eventually(lambda: host.generation() == 2)
             assert event_kinds(host) == [
@@ -89,7 +89,7 @@
             isolated = await deployment.host(
                 "b", log_address=UNREACHABLE_ADDRESS
             )
-            isolated.know(connected)
+            isolated.set_live_peers(connected)
             await put_in_force(deployment, "peak")
             await eventually(lambda: isolated.generation() == 1)
             assert isolated.presets.caught_up
@@ -108,7 +108,7 @@
             isolated = await deployment.host(
                 "b", log_address=link.ready()["address"]
             )
-            isolated.know(connected)
+            isolated.set_live_peers(connected)
             await put_in_force(deployment, "peak")
             await eventually(lambda: isolated.generation() == 1)
             link.control.update({"stall_forward": True})
@@ -128,12 +128,12 @@
     async def main():
         async with run_deployment() as deployment:
             await put_in_force(deployment, "peak")
-            deployment.fault(down=True)
+            deployment.set_faults(down=True)
             newcomer = await deployment.host("b")
             await eventually(lambda: not newcomer.presets.log_is_up)
             assert not newcomer.presets.caught_up
             assert newcomer.presets.in_force() is None
-            deployment.fault(down=False)
+            deployment.set_faults(down=False)
             await eventually(lambda: newcomer.presets.caught_up)
             assert newcomer.generation() == 1
 
@@ -179,7 +179,7 @@
                 await established.presets.append(stale)
             without_peers = await deployment.host("b", retention_ms=NEVER_MS)
             with_peer = await deployment.host("c", retention_ms=NEVER_MS)
-            with_peer.know(established)
+            with_peer.set_live_peers(established)
             await eventually(lambda: with_peer.presets.caught_up)
             assert with_peer.generation() == 1
             assert not without_peers.presets.caught_up
@@ -258,7 +258,7 @@
             host = await deployment.host("a", claim_bounds=BOUNDS)
             await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
-            deployment.fault(lose_answers=answer)
+            deployment.set_faults(lose_answers=answer)
             result = await host.presets.claim(key_now())
             assert result.state == "won"
             assert deployment.platform.counts["appends"] == 3
@@ -272,7 +272,7 @@
             host = await deployment.host("a", claim_bounds=BOUNDS)
             await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
-            deployment.fault(down=True)
+            deployment.set_faults(down=True)
             await eventually(lambda: not host.presets.log_is_up)
             with pytest.raises(RefusedError) as caught:
                 await host.presets.claim(key_now())
