--- a/src/balsamlift/presets/_log.py
+++ b/src/balsamlift/presets/_log.py
@@ -86,8 +86,9 @@
     ) -> None:
         """Set up a client that is not started yet.
 
-        `address` is "IP:port", `silence_ms` the least time without data
-        after which a call fails; `rng` randomizes the retry delay.
+        `address` is "IP:port"; `silence_ms` is the minimum timeout of an
+        append, and of a read that receives no data; `rng` randomizes the
+        retry delay.
         """
         self._url = f"http://{address}/v1/log"
         self._append_timeout = AdaptiveTimeout(silence_ms)
--- a/src/balsamlift/presets/_operator.py
+++ b/src/balsamlift/presets/_operator.py
@@ -70,9 +70,9 @@
     ) -> None:
         """Set the log's address, "IP:port", and the limits of each call.
 
-        `silence_ms` is the least time without data after which a call to
-        the log fails, `wait_ms` the time to read up to the end of the log,
-        and again to read back an appended record.
+        `silence_ms` is the minimum timeout of a call to the log (see
+        `LogClient`); `wait_ms` limits the time to read up to the end of the
+        log, and again the time to read back an appended record.
         """
         self._address = log_address
         self._clock = clock or SystemClock()
--- a/src/balsamlift/presets/_reader.py
+++ b/src/balsamlift/presets/_reader.py
@@ -13,8 +13,8 @@
     """Poll the log and fold its entries into a state.
 
     When entries were missed (by a new host, or by one that was paused for
-    longer than the log keeps them), it scans for a checkpoint after which
-    no entry is missing, restores that and continues from there.
+    longer than the log keeps them), it scans for a checkpoint that covers
+    all missing entries, restores its state and continues after it.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         return not (self.scanning and self._restore_from(entry))
 
     def _restore_from(self, entry: Entry) -> bool:
-        """Restore a checkpoint unless entries after it are missing."""
+        """Restore a checkpoint if it covers all expired entries."""
         found = entry.record
         if not isinstance(found, Checkpoint) or not is_consistent(
             found, entry.offset
