--- a/src/balsamlift/presets/__init__.py
+++ b/src/balsamlift/presets/__init__.py
@@ -1,4 +1,4 @@
-"""Presets, published and switched on the platform's log."""
+"""Presets, published and activated through the platform's log."""
 
 from balsamlift.presets._check import check_pools, check_preset
 from balsamlift.presets._claimant import ClaimResult
@@ -22,10 +22,10 @@
     Switch,
     decode_record,
     encode_record,
-    new_operation,
+    new_operation_id,
 )
 from balsamlift.presets._service import Presets
-from balsamlift.presets._state import FoldState, InForce, LeaseInForce
+from balsamlift.presets._state import FoldState, LeaseInForce, PresetInForce
 
 __all__ = [
     "Batch",
@@ -35,7 +35,6 @@
     "ClaimResult",
     "Entry",
     "FoldState",
-    "InForce",
     "KindPreset",
     "Lease",
     "LeaseInForce",
@@ -44,6 +43,7 @@
     "Operator",
     "PoolPreset",
     "Preset",
+    "PresetInForce",
     "Presets",
     "Publish",
     "Record",
@@ -54,5 +54,5 @@
     "decode_record",
     "encode_record",
     "fold",
-    "new_operation",
+    "new_operation_id",
 ]
--- a/tests/test_presets_service.py
+++ b/tests/test_presets_service.py
@@ -2,12 +2,12 @@
 import time
 
 import pytest
-from presets_bench import (
+from _presets_harness import (
     BOUNDS,
     DEADLINE_S,
-    deployment,
     eventually,
     make_preset,
+    run_deployment,
 )
 
 from balsamlift.exceptions import (
@@ -15,63 +15,64 @@
     KeyTooOldError,
     RefusedError,
 )
-from balsamlift.presets import Checkpoint, new_operation
+from balsamlift.presets import Checkpoint, new_operation_id
 from balsamlift.testing._link import Link
 from balsamlift.testing._settings import LinkSettings
 
-NOWHERE = "127.0.0.1:1"
-NEVER_MS = 1_000_000_000  # no checkpoint by itself within a test
+UNREACHABLE_ADDRESS = "127.0.0.1:1"
+NEVER_MS = 1_000_000_000  # retention for which no checkpoint is due in a test
 
 
 def key_now(age_ms=0):
-    return f"{int(time.time() * 1_000) - age_ms}-{new_operation()}"
+    return f"{int(time.time() * 1_000) - age_ms}-{new_operation_id()}"
 
 
-async def put_in_force(made, name):
-    await made.operator().publish(make_preset(name))
-    result = await made.operator().switch(name)
+async def put_in_force(deployment, name):
+    await deployment.operator().publish(make_preset(name))
+    result = await deployment.operator().switch(name)
     assert result.state == "accepted"
     return result.generation
 
 
-def kinds(host):
+def event_kinds(host):
     return [event.kind for event in host.timeline.events()]
 
 
-def test_change_reaches_every_host_with_its_callbacks():
+def test_change_reaches_every_host_and_calls_its_callbacks():
     async def main():
-        async with deployment() as made:
-            hosts = [await made.host(name) for name in "abc"]
+        async with run_deployment() as deployment:
+            hosts = [await deployment.host(name) for name in "abc"]
             seen = []
             hosts[0].presets.on_change(
                 lambda: seen.append(hosts[0].generation())
             )
             generations = [
-                await put_in_force(made, name) for name in ("peak", "ordinary")
+                await put_in_force(deployment, name)
+                for name in ("peak", "ordinary")
             ]
             for host in hosts:
                 await eventually(lambda host=host: host.generation() == 2)
                 assert host.presets.in_force().name == "ordinary"
                 assert host.presets.caught_up
             assert seen == generations == [1, 2]
-            assert kinds(hosts[0]).count("preset_in_force") == 2
+            assert event_kinds(hosts[0]).count("preset_in_force") == 2
 
     asyncio.run(main())
 
 
-def test_preset_stays_in_force_while_the_log_is_down_and_after():
+def test_preset_stays_in_force_during_and_after_a_log_outage():
     async def main():
-        async with deployment() as made:
-            host = await made.host("a")
-            await put_in_force(made, "peak")
+        async with run_deployment() as deployment:
+            host = await deployment.host("a")
+            await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
-            made.fault(down=True)
+            deployment.set_faults(down=True)
             await eventually(lambda: not host.presets.log_is_up)
             assert host.presets.in_force().name == "peak"
-            made.fault(down=False)
-            await put_in_force(made, "ordinary")
+            deployment.set_faults(down=False)
+            await put_in_force(deployment, "ordinary")
             await eventually(lambda: host.generation() == 2)
-            assert kinds(host) == [
+            assert event_kinds(host) == [
                 "preset_in_force",
                 "log_down",
                 "log_up",
@@ -81,54 +82,58 @@
     asyncio.run(main())
 
 
-def test_host_cut_from_the_log_follows_a_peer():
+def test_host_that_cannot_reach_the_log_follows_a_peer():
     async def main():
-        async with deployment() as made:
-            steady = await made.host("a")
-            cut = await made.host("b", log_address=NOWHERE)
-            cut.know(steady)
-            await put_in_force(made, "peak")
-            await eventually(lambda: cut.generation() == 1)
-            assert cut.presets.caught_up
-            await put_in_force(made, "ordinary")
-            await eventually(lambda: cut.generation() == 2)
+        async with run_deployment() as deployment:
+            connected = await deployment.host("a")
+            isolated = await deployment.host(
+                "b", log_address=UNREACHABLE_ADDRESS
+            )
+            isolated.set_live_peers(connected)
+            await put_in_force(deployment, "peak")
+            await eventually(lambda: isolated.generation() == 1)
+            assert isolated.presets.caught_up
+            await put_in_force(deployment, "ordinary")
+            await eventually(lambda: isolated.generation() == 2)
 
     asyncio.run(main())
 
 
-def test_host_whose_way_to_the_log_goes_silent_follows_a_peer():
+def test_host_whose_connection_to_the_log_stalls_follows_a_peer():
     async def main():
-        async with deployment() as made:
-            link = Link(LinkSettings(target_address=made.address))
+        async with run_deployment() as deployment:
+            link = Link(LinkSettings(target_address=deployment.address))
             await link.start()
-            steady = await made.host("a")
-            cut = await made.host("b", log_address=link.ready()["address"])
-            cut.know(steady)
-            await put_in_force(made, "peak")
-            await eventually(lambda: cut.generation() == 1)
+            connected = await deployment.host("a")
+            isolated = await deployment.host(
+                "b", log_address=link.ready()["address"]
+            )
+            isolated.set_live_peers(connected)
+            await put_in_force(deployment, "peak")
+            await eventually(lambda: isolated.generation() == 1)
             link.control.update({"stall_forward": True})
-            await put_in_force(made, "ordinary")
-            await eventually(lambda: cut.generation() == 2)
-            assert "log_down" in kinds(cut)
+            await put_in_force(deployment, "ordinary")
+            await eventually(lambda: isolated.generation() == 2)
+            assert "log_down" in event_kinds(isolated)
             link.control.update({"stall_forward": False})
-            await eventually(lambda: cut.presets.log_is_up)
-            await put_in_force(made, "peak")
-            await eventually(lambda: cut.generation() == 3)
+            await eventually(lambda: isolated.presets.log_is_up)
+            await put_in_force(deployment, "peak")
+            await eventually(lambda: isolated.generation() == 3)
             await link.stop()
 
     asyncio.run(main())
 
 
-def test_newcomer_alone_in_an_outage_is_not_caught_up():
+def test_newcomer_without_log_and_peers_is_not_caught_up():
     async def main():
-        async with deployment() as made:
-            await put_in_force(made, "peak")
-            made.fault(down=True)
-            newcomer = await made.host("b")
+        async with run_deployment() as deployment:
+            await put_in_force(deployment, "peak")
+            deployment.set_faults(down=True)
+            newcomer = await deployment.host("b")
             await eventually(lambda: not newcomer.presets.log_is_up)
             assert not newcomer.presets.caught_up
             assert newcomer.presets.in_force() is None
-            made.fault(down=False)
+            deployment.set_faults(down=False)
             await eventually(lambda: newcomer.presets.caught_up)
             assert newcomer.generation() == 1
 
@@ -137,74 +142,78 @@
 
 def test_newcomer_starts_from_a_checkpoint_when_records_expired():
     async def main():
-        async with deployment(log_retention_records=3) as made:
-            old = await made.host("a", retention_ms=1_000)
-            await put_in_force(made, "peak")
-            await eventually(lambda: kinds(old).count("checkpoint") > 0)
-            newest = old.presets.state.checkpoint
+        async with run_deployment(log_retention_records=3) as deployment:
+            established = await deployment.host("a", retention_ms=1_000)
+            await put_in_force(deployment, "peak")
+            await eventually(
+                lambda: event_kinds(established).count("checkpoint") > 0
+            )
+            newest = established.presets.state.checkpoint
             await eventually(
                 lambda: (
-                    old.presets.state.checkpoint is not newest
-                    and made.platform.store.read(0, 1).earliest > 1
+                    established.presets.state.checkpoint is not newest
+                    and deployment.platform.store.read(0, 1).earliest > 1
                 )
             )
-            newcomer = await made.host("b", retention_ms=NEVER_MS)
+            newcomer = await deployment.host("b", retention_ms=NEVER_MS)
             await eventually(lambda: newcomer.presets.caught_up)
             assert newcomer.generation() == 1
             offset = newcomer.presets.offset
-            assert await old.presets.wait_offset(offset - 1, DEADLINE_S)
+            assert await established.presets.wait_until_folded(
+                offset - 1, DEADLINE_S
+            )
 
     asyncio.run(main())
 
 
 def test_newcomer_without_a_usable_checkpoint_asks_a_peer():
     async def main():
-        async with deployment(log_retention_records=3) as made:
-            old = await made.host("a", retention_ms=NEVER_MS)
-            await made.operator().publish(make_preset("peak"))
-            early = old.presets.state.copy()
-            await made.operator().switch("peak")
-            await eventually(lambda: old.generation() == 1)
-            stale = Checkpoint(new_operation(), early.offset, early)
-            for _ in range(3):  # push all other records out
-                await old.presets.append(stale)
-            alone = await made.host("b", retention_ms=NEVER_MS)
-            helped = await made.host("c", retention_ms=NEVER_MS)
-            helped.know(old)
-            await eventually(lambda: helped.presets.caught_up)
-            assert helped.generation() == 1
-            assert not alone.presets.caught_up
-            assert alone.presets.in_force() is None
+        async with run_deployment(log_retention_records=3) as deployment:
+            established = await deployment.host("a", retention_ms=NEVER_MS)
+            await deployment.operator().publish(make_preset("peak"))
+            early = established.presets.state.copy()
+            await deployment.operator().switch("peak")
+            await eventually(lambda: established.generation() == 1)
+            stale = Checkpoint(new_operation_id(), early.offset, early)
+            for _ in range(3):  # make all other records expire
+                await established.presets.append(stale)
+            without_peers = await deployment.host("b", retention_ms=NEVER_MS)
+            with_peer = await deployment.host("c", retention_ms=NEVER_MS)
+            with_peer.set_live_peers(established)
+            await eventually(lambda: with_peer.presets.caught_up)
+            assert with_peer.generation() == 1
+            assert not without_peers.presets.caught_up
+            assert without_peers.presets.in_force() is None
 
     asyncio.run(main())
 
 
-def test_stale_checkpoint_sets_nobody_back():
+def test_stale_checkpoint_reverts_no_host():
     async def main():
-        async with deployment() as made:
-            host = await made.host("a", retention_ms=NEVER_MS)
-            await put_in_force(made, "peak")
+        async with run_deployment() as deployment:
+            host = await deployment.host("a", retention_ms=NEVER_MS)
+            await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
             stale = host.presets.state.copy()
-            await put_in_force(made, "ordinary")
+            await put_in_force(deployment, "ordinary")
             await eventually(lambda: host.generation() == 2)
             offset = await host.presets.append(
-                Checkpoint(new_operation(), stale.offset, stale)
+                Checkpoint(new_operation_id(), stale.offset, stale)
             )
-            assert await host.presets.wait_offset(offset, DEADLINE_S)
+            assert await host.presets.wait_until_folded(offset, DEADLINE_S)
             assert host.presets.in_force().name == "ordinary"
-            newcomer = await made.host("b", retention_ms=NEVER_MS)
+            newcomer = await deployment.host("b", retention_ms=NEVER_MS)
             await eventually(lambda: newcomer.presets.caught_up)
             assert newcomer.presets.in_force().name == "ordinary"
 
     asyncio.run(main())
 
 
-def test_fold_is_served_only_when_further():
+def test_state_is_served_only_if_beyond_the_requested_offset():
     async def main():
-        async with deployment() as made:
-            host = await made.host("a")
-            await put_in_force(made, "peak")
+        async with run_deployment() as deployment:
+            host = await deployment.host("a")
+            await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
             url = f"http://{host.operators.address}/v1/peer/fold?from="
             statuses = [
@@ -218,21 +227,24 @@
 
 def test_first_claim_wins_on_every_host():
     async def main():
-        async with deployment() as made:
+        async with run_deployment() as deployment:
             hosts = [
-                await made.host(name, claim_bounds=BOUNDS) for name in "abc"
+                await deployment.host(name, claim_bounds=BOUNDS)
+                for name in "abc"
             ]
             await eventually(lambda: all(h.presets.caught_up for h in hosts))
-            await put_in_force(made, "peak")  # claims are known from here on
+            await put_in_force(
+                deployment, "peak"
+            )  # claims are complete from here
             keys = [key_now() for _ in range(40)]
             claims = [
                 host.presets.claim(key) for key in keys for host in hosts
             ]
             results = await asyncio.gather(*claims)
             for i in range(len(keys)):
-                of_key = results[3 * i : 3 * i + 3]
-                assert sum(bool(result) for result in of_key) == 1
-                assert len({result.host for result in of_key}) == 1
+                key_results = results[3 * i : 3 * i + 3]
+                assert sum(bool(result) for result in key_results) == 1
+                assert len({result.host for result in key_results}) == 1
             repeated = await hosts[0].presets.claim(keys[0])
             assert repeated.state == "lost"
 
@@ -240,27 +252,27 @@
 
 
 @pytest.mark.parametrize("answer", ["silent", "503"])
-def test_claim_with_a_lost_answer_is_won_by_reading_on(answer):
+def test_claim_with_a_lost_answer_is_won_by_reading_the_log(answer):
     async def main():
-        async with deployment() as made:
-            host = await made.host("a", claim_bounds=BOUNDS)
-            await put_in_force(made, "peak")
+        async with run_deployment() as deployment:
+            host = await deployment.host("a", claim_bounds=BOUNDS)
+            await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
-            made.fault(lose_answers=answer)
+            deployment.set_faults(lose_answers=answer)
             result = await host.presets.claim(key_now())
             assert result.state == "won"
-            assert made.platform.counts["appends"] == 3
+            assert deployment.platform.counts["appends"] == 3
 
     asyncio.run(main())
 
 
 def test_claim_is_refused_while_the_log_is_down():
     async def main():
-        async with deployment() as made:
-            host = await made.host("a", claim_bounds=BOUNDS)
-            await put_in_force(made, "peak")
+        async with run_deployment() as deployment:
+            host = await deployment.host("a", claim_bounds=BOUNDS)
+            await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
-            made.fault(down=True)
+            deployment.set_faults(down=True)
             await eventually(lambda: not host.presets.log_is_up)
             with pytest.raises(RefusedError) as caught:
                 await host.presets.claim(key_now())
@@ -272,18 +284,18 @@
 
 def test_claim_is_refused_where_earlier_claims_may_be_missing():
     async def main():
-        async with deployment(log_retention_records=4) as made:
-            old = await made.host("a", retention_ms=NEVER_MS)
-            await put_in_force(made, "peak")
-            await eventually(lambda: old.generation() == 1)
+        async with run_deployment(log_retention_records=4) as deployment:
+            established = await deployment.host("a", retention_ms=NEVER_MS)
+            await put_in_force(deployment, "peak")
+            await eventually(lambda: established.generation() == 1)
             key = key_now()
-            assert await old.presets.claim(key)
-            for _ in range(4):  # the claim leaves the log
-                state = old.presets.state.copy()
-                await old.presets.append(
-                    Checkpoint(new_operation(), state.offset, state)
+            assert await established.presets.claim(key)
+            for _ in range(4):  # make the claim expire
+                state = established.presets.state.copy()
+                await established.presets.append(
+                    Checkpoint(new_operation_id(), state.offset, state)
                 )
-            newcomer = await made.host("b", retention_ms=NEVER_MS)
+            newcomer = await deployment.host("b", retention_ms=NEVER_MS)
             await eventually(lambda: newcomer.presets.caught_up)
             with pytest.raises(RefusedError) as caught:
                 await newcomer.presets.claim(key)
@@ -297,14 +309,14 @@
     [
         (lambda: "no-time", KeyFormatError),
         (lambda: key_now(-60_000), KeyFormatError),
-        (lambda: key_now(BOUNDS.age_ms + 60_000), KeyTooOldError),
+        (lambda: key_now(BOUNDS.max_age_ms + 60_000), KeyTooOldError),
     ],
 )
 def test_claim_of_a_key_outside_the_window_is_an_error(key, error):
     async def main():
-        async with deployment() as made:
-            host = await made.host("a", claim_bounds=BOUNDS)
-            await put_in_force(made, "peak")
+        async with run_deployment() as deployment:
+            host = await deployment.host("a", claim_bounds=BOUNDS)
+            await put_in_force(deployment, "peak")
             await eventually(lambda: host.generation() == 1)
             with pytest.raises(error):
                 await host.presets.claim(key())
