--- a/src/balsamlift/requests/_handlers.py
+++ b/src/balsamlift/requests/_handlers.py
@@ -1,4 +1,4 @@
-"""The HTTP routes of requests, for callers and for peers."""
+"""HTTP handlers for requests, on the callers' and the peers' routes."""
 
 from __future__ import annotations
 
@@ -48,19 +48,19 @@
 
 @stream_request_body
 class RequestsHandler(TypedHandler):
-    """Answer one call about one request.
+    """Submit, read or cancel one request.
 
-    Of a body over the limit the rest is read but not kept: closing at once
-    would reset the connection before the caller has read why.
+    The rest of a body over the limit is read and discarded: closing the
+    connection at once would reset it before the caller has read the error.
     """
 
     def initialize(
         self, requests: Requests, slots: Slots | None = None
     ) -> None:
-        """Keep the service, and the slots for callers' streams.
+        """Store the service and the slots for callers' streams.
 
-        Peers are trusted to have checked tokens and limits; they need no
-        slots.
+        Without slots the handler serves peers, which have already checked
+        the token and the limits.
         """
         self._requests = requests
         self._trusted = slots is None
@@ -71,22 +71,22 @@
         self._body_bytes = 0
 
     def prepare(self) -> None:
-        """Take over the caller's clock."""
+        """Advance the logical clock to the caller's timestamp."""
         self._timeline.observe(self.request.headers.get(CLOCK_HEADER, ""))
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep the body up to its limit."""
+        """Buffer the body up to its limit."""
         self._body_bytes += len(chunk)
         if not self._is_too_large():
             self._body += chunk
 
     def on_connection_close(self) -> None:
-        """Note that nobody reads any more."""
+        """Record that the connection is closed."""
         super().on_connection_close()
         self._closed = True
 
     async def post(self, key: str | None) -> None:
-        """Take a request and stream its answer."""
+        """Submit a request and stream its answer."""
         if key is not None:
             raise HTTPError(METHOD_NOT_ALLOWED)
         if self._is_too_large():
@@ -100,7 +100,7 @@
             await self._deliver(execution, 0)
 
     async def get(self, key: str | None) -> None:
-        """Stream an answer from an index on."""
+        """Stream an answer, starting at the index in `from`."""
         if key is None:
             raise HTTPError(METHOD_NOT_ALLOWED)
         workspace = self.query("workspace")
@@ -123,7 +123,7 @@
         self.reply(200, msgspec.json.encode({"cancelled": cancelled}))
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer an error with its type's code."""
+        """Send an error as a refused outcome or as a typed JSON error."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if isinstance(error, StreamsFullError):
             self.set_header("Retry-After", RETRY_AFTER_S)
@@ -138,7 +138,7 @@
         self._reply_outcome(outcome)
 
     def reply(self, status: int, body: bytes) -> None:
-        """Send encoded JSON under this host's clock."""
+        """Send encoded JSON with this host's clock in a header."""
         self.set_header(CLOCK_HEADER, self._timeline.stamp())
         super().reply(status, body)
 
@@ -146,7 +146,7 @@
         return self._requests.parts.settings.limits.body_bytes
 
     def _is_too_large(self) -> bool:
-        # What a peer passes on, its callers' limit has been applied to.
+        # A peer has already applied the limit to what it forwards.
         return not self._trusted and self._body_bytes > self._limit()
 
     def _slot(self) -> AbstractContextManager[None]:
@@ -193,8 +193,8 @@
             execution.unwatch()
 
     def _drop_connection(self) -> None:
-        # Finishing would wait for this caller, and end its part of the
-        # stream as if that were all.
+        # finish() would wait for the caller to read, and would end the
+        # truncated stream as if it were complete.
         self.detach().close()
 
     def _heartbeat_s(self) -> float:
@@ -207,7 +207,11 @@
         self.reply(STATUS[outcome.outcome], msgspec.json.encode(outcome))
 
     async def send(self, frame: bytes) -> None:
-        """Send one frame; the wait slows this caller's relay only."""
+        """Send one frame; a slow caller delays only its own stream.
+
+        Raises `StreamClosedError` when the connection is closed and
+        `TimeoutError` when the caller does not read.
+        """
         if self._closed:
             raise StreamClosedError
         self.write(frame)
@@ -220,18 +224,18 @@
             await flushed
 
     def begin_stream(self) -> None:
-        """Set what a stream of events needs."""
+        """Set the headers of a server-sent event stream."""
         self.set_header("Content-Type", "text/event-stream")
         self.set_header("Cache-Control", "no-store")
         self.set_header(CLOCK_HEADER, self._timeline.stamp())
 
     def heartbeat_s(self) -> float:
-        """Return how long the stream may stay silent."""
+        """Return the interval after which an idle stream gets a heartbeat."""
         return self._heartbeat_s()
 
 
 class _Delivery:
-    """Write one execution to one caller, from an index on."""
+    """Write one execution to one caller, starting at an index."""
 
     def __init__(
         self, handler: RequestsHandler, execution: Execution, index: int
@@ -245,7 +249,7 @@
         self._timer: SilenceTimer | None = None
 
     async def run(self) -> None:
-        """Write frames until the outcome is told."""
+        """Write frames up to and including the outcome."""
         self._handler.begin_stream()
         self._timer = SilenceTimer(
             self._handler.heartbeat_s(), self._on_silence
@@ -285,20 +289,21 @@
         if execution.holds_back:
             return
         frames = execution.answer.frames_from(self._index)
-        # One at a time: a caller that does not read holds one frame more.
+        # Sent one at a time, so that a caller that does not read costs the
+        # memory of one frame only.
         for count, (after, data) in enumerate(frames, 1):
-            # Counted before it leaves: what may have left cannot be
-            # taken back.
+            # Counted before sending: tokens that may have reached a caller
+            # cannot be replaced by those of another generation.
             execution.delivered = max(execution.delivered, after)
             self._index = after
             await self._send_frame(encode_raw_event("token", data))
             if count % FRAMES_IN_A_ROW == 0:
-                # A long answer read again must not hold up the others.
+                # Replaying a long answer must not block the event loop.
                 await asyncio.sleep(0)
 
     async def _write_end(self, outcome: Outcome) -> None:
         await self._send("end", outcome)
-        # What is not yet sent would be cut off by a daemon that stops.
+        # Wait until all is sent: a daemon that stops closes the connection.
         await self._handler.finish()
 
     def _on_silence(self) -> None:
@@ -324,11 +329,11 @@
 def _check_index(execution: Execution, first_index: int) -> None:
     dropped = execution.outcome if execution.answer_dropped else None
     if dropped is None and execution.answer.first_index > 0:
-        return  # the home checks
+        return  # the home checks the index
     end = dropped.tokens if dropped else execution.answer.next_index
     if first_index > end:
         raise IndexPastEndError(f"expected at most {end}")
-    # A service's result has no tokens: who asks for it has none of it.
+    # A service's result has no tokens, so index 0 never has all of it.
     has_all = first_index >= max(end, 1)
     if dropped and dropped.outcome == WHOLE and not has_all:
         raise AnswerExpiredError("the answer is no longer kept")
--- a/src/balsamlift/requests/_handover.py
+++ b/src/balsamlift/requests/_handover.py
@@ -1,8 +1,8 @@
-"""Hand the key table of a leaving host to one successor.
+"""Handover of a leaving host's key table to one successor.
 
-The leaving host has stopped taking keys before. So a key of it that the
-successor does not know certainly never ran and never will. If the answer
-to the hand-over is lost, no other successor is tried.
+The leaving host stops accepting keys first, so a key of that host which is
+missing from the table never ran and never will. If the successor's response
+is lost, no other successor is tried.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 @attrs.frozen(kw_only=True)
 class KeyRecord:
-    """Hold what is known of one key."""
+    """Hold the outcome and the answer of one key."""
 
     key: str
     workspace: str
@@ -53,7 +53,8 @@
 
     host: str
     incarnation: str
-    oldest_epoch: int  # of which every key is told; older ones may have run
+    # The oldest epoch whose keys are all listed; older keys may have run.
+    oldest_epoch: int
     keys: list[KeyRecord]
 
 
@@ -65,19 +66,19 @@
 
 
 class Handover:
-    """Send the own key table; hold those of hosts that left."""
+    """Send this host's key table and store those of hosts that left."""
 
     def __init__(self, parts: Parts, home: Home) -> None:
-        """Begin with no table taken over."""
+        """Start without any tables taken over."""
         self._parts = parts
         self._home = home
         self._tables: dict[Home, _TakenTable] = {}
 
     def find(self, key: HomedKey, workspace: str) -> Execution | None:
-        """Return what became of a key of a host that left.
+        """Return the execution of a key whose host has left.
 
-        None where its table is not here. Raises `KeyMissingError` for the
-        key of another workspace.
+        None if this host does not have that host's table. Raises
+        `KeyMissingError` if the key belongs to another workspace.
         """
         table = self._tables.get(key.home)
         if table is None:
@@ -92,7 +93,7 @@
         return execution
 
     def take(self, message: KeyTableMessage) -> None:
-        """Hold the table of a host that left."""
+        """Store the table of a leaving host and announce it to peers."""
         home = Home(message.host, message.incarnation)
         now_s = self._parts.clock.monotonic()
         self._tables[home] = _TakenTable(
@@ -106,7 +107,7 @@
         )
 
     def forget_old(self) -> None:
-        """Drop tables whose keys can be used no more."""
+        """Drop tables whose keys can no longer be used."""
         lifetime_s = self._parts.settings.limits.key_lifetime_ms / 1_000
         now_s = self._parts.clock.monotonic()
         for home, table in list(self._tables.items()):
@@ -120,10 +121,10 @@
     async def send(
         self, executions: Iterable[Execution], oldest_epoch: int
     ) -> bool:
-        """Give the table to one successor; return whether it has it."""
+        """Send the table to one successor; return whether it accepted."""
         successor = self._choose_successor()
         if successor is None:
-            log.warning("No peer is left to take the keys.")
+            log.warning("No live peer to hand the key table over to.")
             return False
         message = KeyTableMessage(
             host=self._home.host,
@@ -137,9 +138,12 @@
                 "POST", url, message, timeout_ms=HANDOVER_TIMEOUT_MS
             )
         except CallError:
-            log.warning("The answer of {} is lost.", successor.host)
+            log.warning(
+                "No response from {} to the key table handover.",
+                successor.host,
+            )
             return False
-        log.info("{} has taken {} keys.", successor.host, len(message.keys))
+        log.info("{} has accepted {} keys.", successor.host, len(message.keys))
         return answer.status == 200
 
     def _choose_successor(self) -> Peer | None:
@@ -154,14 +158,14 @@
 
 
 class HandoverHandler(JsonHandler):
-    """Take the key table of a leaving host."""
+    """Receive the key table of a leaving host."""
 
     def initialize(self, handover: Handover) -> None:
-        """Keep the place where tables are held."""
+        """Store the handover that keeps the tables."""
         self._handover = handover
 
     def post(self) -> None:
-        """Take the table."""
+        """Store the table, or respond 400 if it cannot be decoded."""
         try:
             message = msgspec.json.decode(
                 self.request.body, type=KeyTableMessage
@@ -180,7 +184,7 @@
 
 
 def _record(execution: Execution) -> KeyRecord:
-    # What did not end within the bound of the shutdown may still have run.
+    # A request that did not end before the shutdown deadline may have run.
     outcome = execution.outcome or execution.fail("home_left", UNKNOWN)
     return KeyRecord(
         key=execution.key,
--- a/src/balsamlift/requests/_kept.py
+++ b/src/balsamlift/requests/_kept.py
@@ -1,4 +1,4 @@
-"""The executions that hold a body or an answer, and how long they do."""
+"""Registry of executions that hold a body or an answer in memory."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 class Kept:
-    """Drop old answers; cancel what its callers have abandoned."""
+    """Drop old answers and cancel requests that callers have abandoned."""
 
     def __init__(self, parts: Parts) -> None:
-        """Begin with nothing kept."""
+        """Start without any executions."""
         self._parts = parts
         self._executions: set[Execution] = set()
         self._bytes = 0
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to sweep."""
+        """Start the periodic sweep."""
         self._task = asyncio.ensure_future(self._sweep_often())
 
     async def stop(self) -> None:
-        """End the sweep and every request that still runs."""
+        """Cancel the sweep and every request that is still running."""
         tasks = [e.task for e in self._executions if e.task]
         if self._task is not None:
             tasks.append(self._task)
@@ -41,17 +41,17 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     def add(self, execution: Execution) -> None:
-        """Keep an execution until its answer is old."""
+        """Register an execution until its answer is dropped."""
         self._executions.add(execution)
 
     def is_busy(self) -> bool:
-        """Return whether anything runs or is being read."""
+        """Return whether any execution is running or being read."""
         return any(e.outcome is None or e.watchers for e in self._executions)
 
     def check_room(self) -> None:
-        """Raise `RefusedError` while answers take all their memory."""
+        """Raise `RefusedError` while answers exceed their memory limit."""
         if self._bytes > self._parts.settings.limits.answers_bytes:
-            # The next sweep may make room.
+            # The next sweep may free memory.
             raise RefusedError("answers_full", int(SWEEP_S * 1_000))
 
     async def _sweep_often(self) -> None:
@@ -60,8 +60,8 @@
             try:
                 self._sweep()
             except Exception:
-                # Without the sweep memory would grow without bound.
-                log.exception("A sweep failed.")
+                # The loop must go on: without it memory grows unbounded.
+                log.exception("The sweep of executions failed.")
 
     def _sweep(self) -> None:
         now_s = self._parts.clock.monotonic()
@@ -85,7 +85,7 @@
         return now_s - execution.finished_s > limits.answer_keep_ms / 1_000
 
     def _cancel_abandoned(self, execution: Execution, now_s: float) -> None:
-        # What may not be repeated is left to end by itself.
+        # A request that is not idempotent is left to run to its end.
         if execution.watchers or not execution.may_be_abandoned:
             execution.abandoned_s = None
             return
--- a/src/balsamlift/requests/_keys.py
+++ b/src/balsamlift/requests/_keys.py
@@ -1,8 +1,8 @@
-"""Request keys: who may dispatch a request can be read off its key.
+"""Request keys. The form of a key determines who may dispatch its request.
 
 A homed key is `HOST~INCARNATION~EPOCH.RANDOM`: only that incarnation of
-that host may dispatch it. An unhomed key is `TIMESTAMP_MS-RANDOM` and needs
-a claim on the log.
+that host, its home, may dispatch it. An unhomed key is
+`TIMESTAMP_MS-RANDOM`: a host must claim it on the log first.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 
 @attrs.frozen
 class Home:
-    """Name one incarnation of one host."""
+    """Identify the incarnation of a host that may dispatch a key."""
 
     host: str
     incarnation: str
 
     @property
     def name(self) -> str:
-        """Return the name under which peers tell of it."""
+        """Return the name that peers use for it, `HOST~INCARNATION`."""
         return f"{self.host}~{self.incarnation}"
 
 
 @attrs.frozen
 class HomedKey:
-    """Hold the parts of a key with a home."""
+    """Represent a parsed key that has a home."""
 
     text: str
     home: Home
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class UnhomedKey:
-    """Hold the parts of a key without a home."""
+    """Represent a parsed key that has no home."""
 
     text: str
     created_ms: int
@@ -57,7 +57,7 @@
 
 
 def parse_key(text: str) -> Key:
-    """Return the parts of a key; raise `BadKeyError`."""
+    """Return the parsed key; raise `BadKeyError` if it has neither form."""
     if match := _HOMED.fullmatch(text):
         home = Home(match["host"], match["incarnation"])
         return HomedKey(text, home, int(match["epoch"]))
@@ -67,22 +67,22 @@
 
 
 def parse_home(name: str) -> Home:
-    """Return the home of that name."""
+    """Return the home with the given `HOST~INCARNATION` name."""
     host, _, incarnation = name.partition("~")
     return Home(host, incarnation)
 
 
 def key_prefix(home: Home, epoch: int) -> str:
-    """Return what keys of this home begin with."""
+    """Return the prefix of keys of this home and epoch."""
     return f"{home.name}~{epoch}"
 
 
 def new_homed_key(prefix: str) -> str:
-    """Draw a key under the prefix that a host gave."""
+    """Return a new random key under a host's prefix."""
     return f"{prefix}.{secrets.token_hex(RANDOM_BYTES)}"
 
 
 def new_unhomed_key(now: datetime) -> str:
-    """Draw a key that no host is home to."""
+    """Return a new random key without a home."""
     created_ms = int(now.timestamp() * 1_000)
     return f"{created_ms}-{secrets.token_hex(RANDOM_BYTES)}"
--- a/src/balsamlift/requests/_messages.py
+++ b/src/balsamlift/requests/_messages.py
@@ -1,4 +1,4 @@
-"""What callers send."""
+"""Decoding and validation of the request body that callers send."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 _DELIVERIES = (STREAM, WHOLE_ONLY)
 _MAX_NAME = 128
 _MAX_COUNT = 2**31 - 1
-_MAX_SEED = 2**63 - 1  # what a signed 64-bit number can hold
-_MAX_DEPTH = 100  # of lists and objects within a payload
+_MAX_SEED = 2**63 - 1  # the largest signed 64-bit integer
+_MAX_DEPTH = 100  # nesting of lists and objects in a payload
 
 
 @attrs.frozen(kw_only=True)
 class RequestBody:
-    """Hold one request as a caller sends it.
+    """Represent one request as a caller sends it.
 
-    `delivery` "whole" holds the tokens back until the answer is whole, so
-    that an engine lost midway costs time but no answer. `first_attempt`
-    says that the key was not sent before: only then can a host that cannot
-    claim a key without a home say that it did not run.
+    `delivery` "whole" withholds the tokens until the answer is complete, so
+    that the request can be rerun if an engine is lost midway.
+    `first_attempt` states that the key was not sent before. Only then can a
+    host that fails to claim an unhomed key report that it did not run.
     """
 
     key: str
@@ -44,14 +44,14 @@
     first_attempt: bool = False
 
     def digest(self) -> bytes:
-        """Return what tells this request from any other."""
+        """Return a hash that is equal for repeated attempts only."""
         request = attrs.evolve(self, first_attempt=False)
         encoded = msgspec.json.encode(request, order="deterministic")
         return hashlib.sha256(encoded).digest()
 
 
 def decode_request(data: bytes) -> RequestBody:
-    """Return the request in `data`; raise `BadBodyError`."""
+    """Decode and validate a request; raise `BadBodyError`."""
     try:
         body = msgspec.json.decode(data, type=RequestBody)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/src/balsamlift/requests/_parts.py
+++ b/src/balsamlift/requests/_parts.py
@@ -1,4 +1,4 @@
-"""What running a request needs of the other services."""
+"""Services and clients that request handling depends on."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @attrs.frozen(kw_only=True)
 class Parts:
-    """Hold the services and clients that a request meets."""
+    """Bundle the services and clients that request handling uses."""
 
     settings: Settings
     clock: Clock
--- a/src/balsamlift/requests/_remote.py
+++ b/src/balsamlift/requests/_remote.py
@@ -1,8 +1,8 @@
-"""Requests whose home is another host: pass them on, bring answers back.
+"""Forwarding of requests whose home is another host.
 
-Only the home may dispatch. This host reads the home's stream over its own
-connections and, when the home is gone, the engine's own stream of the same
-generation, which runs nothing again.
+Only the home may dispatch a request. This host relays the home's stream.
+When the home is gone, it reads the same generation from the engine, which
+does not run the request again.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 CONFLICT = 409
 GONE = 410
 SERVER_ERROR = 500
-RELAYS = 2  # peers asked to reach a home that this host cannot reach
+RELAYS = 2  # peers tried as relays to a home that is unreachable from here
 
 
 @attrs.frozen(kw_only=True)
@@ -63,7 +63,10 @@
 
 @attrs.define(eq=False)
 class _Pass:
-    """Hold one request on its way to its home."""
+    """Hold the state of one request that is forwarded to its home.
+
+    `engine` names the upstream and the generation if the caller knew them.
+    """
 
     home: Home
     execution: Execution
@@ -74,21 +77,21 @@
 
 
 class Remote:
-    """Pass requests to their homes."""
+    """Forward requests to their homes and relay the answers."""
 
     def __init__(self, parts: Parts) -> None:
-        """Begin with nothing on its way."""
+        """Start without any forwarded requests."""
         self._parts = parts
         self._tasks: set[asyncio.Task[None]] = set()
         self._executions: set[Execution] = set()
 
     def is_busy(self) -> bool:
-        """Return whether anything is on its way or being read."""
+        """Return whether any request is being forwarded or read."""
         watched = any(e.watchers for e in self._executions)
         return watched or bool(self._tasks)
 
     def submit(self, home: Home, body: RequestBody, hops: int) -> Execution:
-        """Pass a request to its home and follow it."""
+        """Forward a request to its home and follow the answer."""
         execution = Execution(body.key, body.workspace, body)
         passed = _Pass(home, execution, body, None, hops)
         self._spawn(self._follow(passed), execution)
@@ -103,7 +106,7 @@
         engine: tuple[str, str] | None,
         hops: int,
     ) -> Execution:
-        """Follow a request at its home, from `first_index` on."""
+        """Follow a request at its home, starting at `first_index`."""
         execution = Execution(key, workspace, None, first_index)
         passed = _Pass(home, execution, None, engine, hops)
         self._spawn(self._follow(passed), execution)
@@ -112,11 +115,14 @@
     async def fill(
         self, home: Home, execution: Execution, body: RequestBody
     ) -> None:
-        """Follow a request at another host into an own execution."""
+        """Follow a request at another host into an existing execution."""
         await self._follow(_Pass(home, execution, body, None, 0))
 
     async def cancel(self, home: Home, key: str, workspace: str) -> bool:
-        """Have the home cancel; raise `KeyMissingError` where it can't."""
+        """Ask the home to cancel; return whether the request was cancelled.
+
+        Raises `KeyMissingError` if no peer can answer for the key.
+        """
         for peer in self._routes(home, 0):
             url = _url(peer, f"/{quote(key)}?workspace={quote(workspace)}")
             try:
@@ -140,7 +146,8 @@
         execution.on_unwatched = self._unwatch
 
     def _unwatch(self, execution: Execution) -> None:
-        # Nobody reads here any more; the home goes on by itself.
+        # No caller reads from this host any more. The request goes on at
+        # its home.
         self._executions.discard(execution)
         if execution.task is not None:
             execution.task.cancel()
@@ -216,13 +223,14 @@
         itself = [p for p in peers if Home(p.host, p.incarnation) == home]
         routes = [*holders, *itself]
         if routes and hops < MAX_HOPS:
-            # The link to the home may be cut one way only.
+            # The link to the home may be cut in one direction only; other
+            # peers may still reach it.
             others = [p for p in peers if p not in routes and not p.leaving]
             routes += others[:RELAYS]
         return routes
 
     async def _without_home(self, passed: _Pass) -> Outcome:
-        """Follow the generation on its engine, or tell the truth."""
+        """Recover the answer from upstreams, or return "unknown"."""
         execution = passed.execution
         engine = passed.engine
         if execution.start is not None and execution.start.upstream:
@@ -242,7 +250,7 @@
 
 
 def _status_outcome(passed: _Pass, error: StreamStatusError) -> Outcome | None:
-    """Return the outcome that a home answered with a status."""
+    """Return the outcome for an error status; None to try again."""
     try:
         return msgspec.json.decode(error.body, type=Outcome)
     except msgspec.DecodeError:
@@ -256,14 +264,15 @@
 
 
 def _client_error_outcome(passed: _Pass, error: StreamStatusError) -> Outcome:
-    """Return what a home says of a request that the caller must mend."""
+    """Return the outcome for a status that reports an error of the caller."""
     try:
         code = msgspec.json.decode(error.body, type=_Error).error
     except msgspec.DecodeError:
         code = f"status_{error.status}"
     if error.status == GONE:
         return passed.execution.fail(code, FAILED)
-    # What an earlier try has begun may run, whatever this one was told.
+    # An earlier attempt may have started the request, whatever the answer
+    # to this one.
     certain = passed.body is not None and passed.tries == 1
     if certain or error.status == CONFLICT:
         return Outcome(outcome=REFUSED, reason=code)
--- a/src/balsamlift/requests/_replies.py
+++ b/src/balsamlift/requests/_replies.py
@@ -1,4 +1,4 @@
-"""Typed JSON answers for whatever goes wrong at the callers' address."""
+"""Base request handlers that report errors as JSON."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class TypedHandler(RequestHandler):
-    """Answer every error as `{"error", "message"}`."""
+    """Send every error as `{"error", "message"}`."""
 
     def reply(self, status: int, body: bytes) -> None:
         """Send encoded JSON."""
@@ -30,7 +30,7 @@
         self.finish(body)
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer an error with its type's code."""
+        """Send an error with the status and code of its type."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if isinstance(error, RequestError):
             status_code, code = error.status, error.code
@@ -44,7 +44,7 @@
         self.reply(status_code, msgspec.json.encode(body))
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
-        """Log only what is no typed answer."""
+        """Log exceptions other than the expected `BalsamliftError`."""
         if not isinstance(value, BalsamliftError):
             super().log_exception(typ, value, tb)
 
@@ -57,8 +57,8 @@
 
 
 class MissingRouteHandler(TypedHandler):
-    """Answer 404 where no route is."""
+    """Respond 404 to every path without a route."""
 
     def prepare(self) -> None:
-        """Answer so, whatever the method."""
+        """Raise 404, whatever the method."""
         raise HTTPError(NOT_FOUND)
--- a/src/balsamlift/requests/_runner.py
+++ b/src/balsamlift/requests/_runner.py
@@ -1,4 +1,4 @@
-"""Take one request from admission to its outcome."""
+"""Execution of one request, from admission to its outcome."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     """Run requests that this host may dispatch."""
 
     def __init__(self, parts: Parts, home: Home) -> None:
-        """Begin with nothing running."""
+        """Start without any running requests."""
         self._parts = parts
         self._home = home
         self.kept = Kept(parts)
@@ -33,8 +33,8 @@
     def find_terms(self, body: RequestBody) -> Terms:
         """Return the terms of a new request.
 
-        Raises `RequestError` for what the caller must mend and
-        `RefusedError` where there is no room or no preset.
+        Raises `RequestError` for errors in the request itself and
+        `RefusedError` if there is no memory for answers or no preset.
         """
         terms = find_terms(self._parts, body)
         self.kept.check_room()
@@ -43,7 +43,7 @@
     def begin(
         self, execution: Execution, body: RequestBody, terms: Terms
     ) -> None:
-        """Run a request in a task of its own."""
+        """Run a request in a new task."""
         self.kept.add(execution)
         execution.may_be_abandoned = terms.idempotent
         run = self.run(execution, body, terms)
@@ -61,13 +61,13 @@
             self.finish(execution, _cancelled(execution))
             raise
         except Exception as error:
-            log.exception("A request ended in an error of ours.")
+            log.exception("A request failed with an internal error.")
             reason = f"internal_{type(error).__name__}"
             outcome = execution.fail(reason, UNKNOWN)
         self.finish(execution, outcome)
 
     def finish(self, execution: Execution, outcome: Outcome) -> None:
-        """Tell the outcome."""
+        """Record the outcome in the execution, metrics and timeline."""
         self.kept.add(execution)
         execution.finish(outcome, self._parts.clock.monotonic())
         self._parts.metrics.count(f"requests.{outcome.outcome}")
@@ -119,7 +119,7 @@
 
 
 def refusal(error: RefusedError) -> Outcome:
-    """Return the outcome for a request that certainly did not run."""
+    """Return the outcome of a request that was refused and did not run."""
     return Outcome(
         outcome=REFUSED,
         reason=error.reason,
--- a/src/balsamlift/requests/_service.py
+++ b/src/balsamlift/requests/_service.py
@@ -1,4 +1,4 @@
-"""The service `requests`: take requests, run them, remember outcomes."""
+"""The `requests` service: accept and run requests, remember outcomes."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class Requests:
-    """Run every request that this host is home to, at most once."""
+    """Run each request that has its home here at most once."""
 
     name = "requests"
 
     def __init__(self, parts: Parts, home: Home) -> None:
-        """Begin with an empty key table."""
+        """Start with an empty key table."""
         limits = parts.settings.limits
         self.parts = parts
         self.home = home
@@ -46,7 +46,7 @@
         self._upkeep: asyncio.Task[None] | None = None
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin upkeep; take key tables of leaving hosts."""
+        """Start periodic maintenance; accept key tables of leaving hosts."""
         operators = kernel.find("operators", OperatorsServer)
         arguments = {"handover": self.handover}
         operators.add_routes([(r"/v1/peer/keys", HandoverHandler, arguments)])
@@ -54,7 +54,7 @@
         self._upkeep = asyncio.ensure_future(self._keep_up())
 
     async def stop(self) -> None:
-        """End every task."""
+        """Cancel maintenance and all running requests."""
         if self._upkeep is not None:
             self._upkeep.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -62,17 +62,17 @@
         await self._runner.kept.stop()
 
     def authorize(self, workspace: str, token: str) -> None:
-        """Check that the token is the workspace's.
+        """Check that the token belongs to the workspace.
 
         Raises `WorkspaceUnknownError` and `TokenWrongError`.
         """
         authorize(self.parts, workspace, token)
 
     def submit(self, body: RequestBody, hops: int = 0) -> Execution:
-        """Return the execution of a request, begun here or elsewhere.
+        """Return the execution of a request, started here or at its home.
 
-        Raises `RequestError` for what the caller must mend and
-        `RefusedError` where nothing ran.
+        Raises `RequestError` for errors in the request itself and
+        `RefusedError` if the request did not run.
         """
         key = parse_key(body.key)
         if isinstance(key, UnhomedKey):
@@ -92,10 +92,10 @@
         engine: tuple[str, str] | None,
         hops: int = 0,
     ) -> Execution:
-        """Return the execution of a key, found here or elsewhere.
+        """Return the execution of a key, from here or from its home.
 
-        `engine` names the upstream and the generation where the caller
-        knows them. Raises `KeyMissingError`.
+        `engine` names the upstream and the generation if the caller knows
+        them. Raises `KeyMissingError`.
         """
         key = parse_key(key_text)
         if isinstance(key, UnhomedKey):
@@ -110,9 +110,9 @@
         )
 
     async def cancel(self, key_text: str, workspace: str) -> bool:
-        """End a request; return whether it is cancelled, or had ended.
+        """Cancel a request; return whether it was cancelled.
 
-        Raises `KeyMissingError`.
+        False if it had ended before. Raises `KeyMissingError`.
         """
         key = parse_key(key_text)
         if isinstance(key, HomedKey) and key.home != self.home:
@@ -125,7 +125,10 @@
         return outcome is not None and outcome.reason == "cancelled"
 
     async def wait_idle(self, bound_s: float) -> bool:
-        """Wait until nothing runs and nobody reads; return whether so."""
+        """Wait until no request is running or being read.
+
+        Returns whether that happened within `bound_s`.
+        """
         try:
             async with asyncio.timeout(bound_s):
                 while self._is_busy():
@@ -135,7 +138,7 @@
         return True
 
     async def hand_over(self) -> None:
-        """Give the key table to one successor, once nothing is taken."""
+        """Stop accepting keys and send the key table to one successor."""
         self.taking = False
         await self.handover.send(
             self.table.executions(), self.table.oldest_epoch
@@ -166,7 +169,7 @@
         try:
             terms = self._runner.find_terms(body)
         except RefusedError as error:
-            # Remembered, so that a late duplicate is refused as well.
+            # Recorded, so that a late duplicate is refused as well.
             self.table.add(key, execution)
             self._runner.finish(execution, refusal(error))
             return execution
@@ -183,7 +186,7 @@
 
     def _check_taking(self) -> None:
         if not self.taking:
-            # Not remembered: from here on no key is taken, ever.
+            # Need not be recorded: this incarnation accepts no more keys.
             raise RefusedError("leaving", 0)
 
     async def _keep_up(self) -> None:
--- a/src/balsamlift/requests/_service_call.py
+++ b/src/balsamlift/requests/_service_call.py
@@ -37,7 +37,7 @@
 
 
 async def run_on_services(work: Work) -> Outcome:
-    """Try plain services until there is an outcome."""
+    """Try plain services until one yields an outcome, then return it."""
     while True:
         upstream = await next_upstream(work)
         if isinstance(upstream, Outcome):
@@ -111,7 +111,7 @@
 
 
 async def _ask_by_key(work: Work, upstream: Upstream) -> Outcome:
-    """Learn by key what became of a call whose answer is lost."""
+    """Poll the upstream by key for a call whose response was lost."""
     while work.left_s() > 0:
         told = await ask_key(
             work.parts, upstream, work.execution.key, _silence_ms(work)
--- a/src/balsamlift/requests/_slots.py
+++ b/src/balsamlift/requests/_slots.py
@@ -1,4 +1,4 @@
-"""A bound on the streams that one host has open to callers."""
+"""Limit on the concurrent streams from one host to callers."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Slots:
-    """Count what is open, up to a limit."""
+    """Count open streams, up to a limit."""
 
     def __init__(self, limit: int) -> None:
-        """Begin with nothing open."""
+        """Start without open streams."""
         self._limit = limit
         self._open = 0
 
     @contextlib.contextmanager
     def taken(self) -> Iterator[None]:
-        """Hold one slot; raise `StreamsFullError` where none is free."""
+        """Hold one slot; raise `StreamsFullError` if none is free."""
         if self._open >= self._limit:
             raise StreamsFullError(f"{self._open} streams are open")
         self._open += 1
--- a/src/balsamlift/requests/_table.py
+++ b/src/balsamlift/requests/_table.py
@@ -1,9 +1,9 @@
-"""The key table of one home: what became of every key it may dispatch.
+"""The key table of one home: executions by key, dropped by epoch.
 
-Keys carry an epoch. New keys are taken under the two newest epochs; the
-keys of one older are remembered but taken no more, so that a key that is
-not there certainly never ran; keys older than that are forgotten, and asked
-about, the answer is "unknown". That bounds the memory.
+Each key carries an epoch. New keys are accepted in the two newest epochs.
+Keys of the epoch before those are remembered, but no new ones are accepted,
+so a key that is missing there never ran. Older keys are dropped to bound
+the memory; their outcome is reported as "unknown".
 """
 
 from __future__ import annotations
@@ -20,20 +20,24 @@
 
 
 class KeyRetiredError(BalsamliftError):
-    """Tell that the key is too old to be remembered: it may have run."""
+    """Raise when a key's epoch has been dropped: the key may have run."""
 
     def __init__(self) -> None:
-        """Give the one reason."""
+        """Set the message."""
         super().__init__("the key is too old to be remembered")
 
 
 class KeyTable:
-    """Remember executions by key for as long as a key can be used."""
+    """Remember executions by key for as long as the key can be used.
+
+    Holds at most `capacity` keys. A key is accepted for at most
+    `lifetime_ms`.
+    """
 
     def __init__(
         self, home: Home, clock: Clock, lifetime_ms: int, capacity: int
     ) -> None:
-        """Begin in epoch 0 with no key."""
+        """Start in epoch 0 without any keys."""
         self.home = home
         self._clock = clock
         self._epoch_s = lifetime_ms / 1_000 / OPEN_EPOCHS
@@ -50,25 +54,25 @@
 
     @property
     def prefix(self) -> str:
-        """Return the prefix that new keys shall have."""
+        """Return the prefix for new keys."""
         self._turn()
         return key_prefix(self.home, self._epoch)
 
     @property
     def oldest_epoch(self) -> int:
-        """Return the oldest epoch of which every key is remembered."""
+        """Return the oldest epoch whose keys are all remembered."""
         self._turn()
         return max(0, self._epoch - OPEN_EPOCHS)
 
     def find(self, key: HomedKey) -> Execution | None:
-        """Return what is remembered of a key."""
+        """Return the execution of a key, if it is remembered."""
         return self._by_epoch.get(key.epoch, {}).get(key.text)
 
     def check_takes(self, key: HomedKey) -> None:
-        """Raise unless the key, not remembered, may be taken.
+        """Raise unless this key, which is not in the table, is accepted.
 
-        `KeyRetiredError`: it may have run. `RefusedError`: it did not and
-        will not.
+        Raises `KeyRetiredError` if it may have run, `RefusedError` if it
+        did not and never will, and `BadKeyError` if its epoch has not begun.
         """
         self._turn()
         if key.epoch > self._epoch:
@@ -76,27 +80,27 @@
         if key.epoch < self._epoch - OPEN_EPOCHS:
             raise KeyRetiredError
         if self._size >= self._capacity:
-            # What is refused for want of room must not run later: no key
-            # of the epochs so far is taken any more.
+            # A key that is refused because the table is full must not run
+            # later, so all epochs up to now are closed to new keys.
             self._closed_below = self._epoch + 1
         lowest_open = max(self._epoch - OPEN_EPOCHS + 1, self._closed_below)
         if key.epoch < lowest_open:
             raise RefusedError("key_closed", self._next_turn_ms())
 
     def add(self, key: HomedKey, execution: Execution) -> None:
-        """Remember an execution."""
+        """Add the execution of an accepted key."""
         keys = self._by_epoch.setdefault(key.epoch, {})
         keys[key.text] = execution
         self._size += 1
 
     def executions(self) -> Iterator[Execution]:
-        """Yield all that is remembered."""
+        """Yield all executions in the table."""
         for keys in self._by_epoch.values():
             yield from keys.values()
 
     def _next_turn_ms(self) -> int:
         if self._closed_below <= self._epoch:
-            return 0  # a new key may be drawn now
+            return 0  # a key with the current prefix is accepted now
         left_s = self._turned_s + self._epoch_s - self._clock.monotonic()
         return int(left_s * 1_000) + 1
 
--- a/src/balsamlift/requests/_terms.py
+++ b/src/balsamlift/requests/_terms.py
@@ -1,4 +1,4 @@
-"""What the preset in force says of one request."""
+"""The terms of one request, derived from the preset in force."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 from balsamlift.requests._parts import Parts
 
 ANY_WORKSPACE = "*"
-CHARACTERS_PER_TOKEN = 4  # a rough guess where the caller gives no count
+CHARACTERS_PER_TOKEN = 4  # rough estimate, if the caller gives no count
 NO_PRESET_RETRY_MS = 1_000
 
 
 @attrs.frozen(kw_only=True)
 class Terms:
-    """Hold the terms of a request: those of its admission, to its end."""
+    """Hold the settings of a request, fixed from its admission to its end."""
 
     in_force: InForce
     kind: KindPreset
-    model: str  # that the pool shall run; "" where the preset names none
+    model: str  # that the pool should run; "" if the preset names none
     weight: float  # of the workspace
     idempotent: bool
     on_services: bool
 
 
 def find_terms(parts: Parts, body: RequestBody) -> Terms:
-    """Return the terms that the preset in force sets.
+    """Return the terms that the preset in force sets for a request.
 
     Raises `KindUnknownError` and `WorkspaceUnknownError`, and `RefusedError`
     while no preset is in force.
@@ -56,17 +56,18 @@
         kind=kind,
         model=wanted.model if wanted else "",
         weight=_find_workspace(in_force.preset, body.workspace).weight,
-        # A caller may ask for more care than the preset, never for less.
+        # A caller may declare an idempotent kind non-idempotent, but not
+        # the reverse.
         idempotent=kind.idempotent and body.idempotent is not False,
         on_services=pool.kind == "service",
     )
 
 
 def authorize(parts: Parts, workspace: str, token: str) -> None:
-    """Check that the token is the workspace's.
+    """Check that the token belongs to the workspace.
 
-    Raises `WorkspaceUnknownError` and `TokenWrongError`. While no preset is
-    in force nothing is served, and nothing is checked.
+    Raises `WorkspaceUnknownError` and `TokenWrongError`. Checks nothing
+    while no preset is in force, as no request is served then.
     """
     in_force = parts.presets.in_force()
     if in_force is None:
@@ -80,7 +81,7 @@
 
 
 def to_ask(body: RequestBody, terms: Terms) -> PlacementRequest:
-    """Return what the request asks of placement."""
+    """Return the request to placement."""
     kind = terms.kind
     guess = max(1, len(body.prompt) // CHARACTERS_PER_TOKEN)
     ask = PlacementRequest(
@@ -97,7 +98,7 @@
         deadline_ms=_at_most(body.deadline_ms, kind.deadline_ms),
     )
     if terms.on_services:
-        # A call fills no engine's memory; it counts as one token.
+        # A service call uses no engine memory; it counts as one token.
         return attrs.evolve(ask, prompt_tokens=0, max_tokens=1)
     return ask
 
--- a/src/balsamlift/requests/_work.py
+++ b/src/balsamlift/requests/_work.py
@@ -1,4 +1,4 @@
-"""One admitted request on its way through upstreams."""
+"""Dispatch state of one admitted request, and the choice of its upstream."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
 RETRY_PAUSE_S = 0.05
 MAX_PAUSE_S = 1.0
-LEAST_RETRY_MS = 1_000  # where the upstream gave no time of its own
+LEAST_RETRY_MS = 1_000  # if the refusal gives no retry time
 
 
 class NotRunError(BalsamliftError):
-    """Tell that the work certainly did not run on this upstream."""
+    """Raise when the request certainly did not run on this upstream."""
 
     def __init__(self, reason: str, retry_after_ms: int = 0) -> None:
-        """Keep the reason and when to come back."""
+        """Store the reason and when to retry, 0 if unknown."""
         super().__init__(reason)
         self.reason = reason
         self.retry_after_ms = retry_after_ms
 
 
 class LostError(BalsamliftError):
-    """Tell that the work ran, or may have, and cannot be followed.
+    """Raise when the request ran, or may have run, but cannot be followed.
 
-    `ended` says that it certainly runs no more.
+    `ended` states that it is certainly no longer running.
     """
 
     def __init__(self, reason: str, *, ended: bool) -> None:
-        """Keep the reason."""
+        """Store the reason and whether it has ended."""
         super().__init__(reason)
         self.reason = reason
         self.ended = ended
@@ -44,24 +44,24 @@
 
 @attrs.define(eq=False)
 class Work:
-    """Hold one admitted request and the rules it runs under."""
+    """Hold one admitted request, its limits and the state of its dispatch."""
 
     parts: Parts
     execution: Execution
     body: RequestBody
     ticket: Ticket
-    model: str  # that the pool shall run; "" where the preset names none
+    model: str  # that the pool should run; "" if the preset names none
     idempotent: bool
     max_tokens: int
     priority: int
-    deadline_s: float  # by the monotonic clock
+    deadline_s: float  # on the monotonic clock
     excluded: set[str] = attrs.field(factory=set)
-    lost: bool = False  # whether it ran, or may have, on one that is lost
-    waits_until_s: float | None = None  # for a place; None: not yet waiting
-    refusal: NotRunError | None = None  # the last by an upstream
+    lost: bool = False  # whether it ran, or may have, on a lost upstream
+    waits_until_s: float | None = None  # for an upstream; None: not waiting
+    refusal: NotRunError | None = None  # the last one from an upstream
 
     def note_lost(self, upstream: Upstream) -> None:
-        """Note that it ran, or may have, where it cannot be followed."""
+        """Record that it ran, or may have, on this upstream and is lost."""
         self.lost = True
         self.excluded.add(upstream.name)
         self.waits_until_s = None
@@ -72,15 +72,15 @@
         return self.deadline_s - self.parts.clock.monotonic()
 
     def record(self, kind: str, **detail: str | int | float) -> None:
-        """Put an event of this request on the time line."""
+        """Record an event of this request on the timeline."""
         self.parts.timeline.record(kind, request=self.execution.key, **detail)
 
 
 async def next_upstream(work: Work) -> Upstream | Outcome:
-    """Return where to try next, or the refusal when time is over.
+    """Return the upstream to try next, or a refusal after the wait limit.
 
-    A request that was admitted waits for a place, for as long as a request
-    may wait in the queue; upstreams that refuse it do not prolong that.
+    An admitted request waits for an upstream for at most the preset's queue
+    wait. Refusals by upstreams do not extend the wait.
     """
     parts = work.parts
     if work.waits_until_s is None:
@@ -122,13 +122,13 @@
 
 
 def note_dispatch(work: Work, upstream: Upstream) -> None:
-    """Note that from now on this upstream may be running the work."""
+    """Record that from now on this upstream may be running the request."""
     work.execution.dispatched = True
     work.record("dispatched", upstream=upstream.name)
 
 
 def note_not_run(work: Work, upstream: Upstream, error: NotRunError) -> None:
-    """Tell the other parts that this upstream did not take the work."""
+    """Report to placement and peers that this upstream refused the request."""
     parts = work.parts
     work.excluded.add(upstream.name)
     work.refusal = error
--- a/src/balsamlift/streams/__init__.py
+++ b/src/balsamlift/streams/__init__.py
@@ -1,4 +1,4 @@
-"""Streams of tokens: their frames, the answer they make, their reading."""
+"""Token streams: frames, the answer they add up to, and the client."""
 
 from balsamlift.streams._answer import (
     Answer,
--- a/src/balsamlift/streams/_answer.py
+++ b/src/balsamlift/streams/_answer.py
@@ -1,4 +1,4 @@
-"""The answer of one request: tokens once, in order, of one generation."""
+"""The answer to one request: the tokens of one generation, in order."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 from balsamlift.streams._frames import FrameError, Tokens
 
-COMPACT_FRAMES = 64  # joined to one when an answer is complete
+COMPACT_FRAMES = 64  # frames joined into one when an answer is complete
 
 
 class TokenGapError(FrameError):
-    """Tell that tokens are missing before the ones that came."""
+    """Raise when tokens are missing before those of a frame."""
 
 
 class OtherGenerationError(FrameError):
-    """Tell that tokens come from another generation."""
+    """Raise when a frame belongs to another generation."""
 
 
 class OtherTokensError(FrameError):
-    """Tell that a repeated generation differs from the one delivered."""
+    """Raise when a repeated generation differs from the delivered tokens."""
 
 
 @attrs.frozen
@@ -51,13 +51,13 @@
 
 
 class Answer:
-    """Keep tokens in the encoded form in which they leave again.
+    """Store tokens in the encoded form in which they are sent.
 
-    `first_index` is above 0 where the tokens before are elsewhere.
+    `first_index` is above 0 if the answer does not hold the tokens before.
     """
 
     def __init__(self, first_index: int = 0) -> None:
-        """Begin with no generation and no token."""
+        """Start without a generation or tokens."""
         self.generation = ""
         self.next_index = first_index
         self.size_bytes = 0
@@ -67,30 +67,31 @@
 
     @property
     def digest(self) -> str:
-        """Return the digest of the tokens so far, in hex."""
+        """Return the SHA-256 of the tokens so far, in hex."""
         return self._digest.hexdigest()
 
     def begin(self, generation: str) -> None:
-        """Take tokens of this generation from now on."""
+        """Accept only tokens of this generation from now on."""
         self.generation = generation
 
     def reset(self) -> None:
-        """Forget all tokens, none of which was delivered."""
+        """Discard all tokens; none may have been delivered."""
         self.__init__(self.first_index)  # type: ignore[misc]
 
     def append(self, frame: Tokens) -> int:
-        """Add the new tokens of a frame and return their number.
+        """Append the new tokens of a frame and return their number.
 
-        Tokens held already are dropped by their index. Raises
+        Skips tokens that are already held, by index. Raises
         `OtherGenerationError` and `TokenGapError`.
         """
         if frame.generation != self.generation:
             raise OtherGenerationError(
-                f"tokens of {frame.generation}, not of {self.generation}"
+                f"expected tokens of {self.generation}, not of"
+                f" {frame.generation}"
             )
         if frame.index > self.next_index:
             raise TokenGapError(
-                f"token {frame.index} came, {self.next_index} was due"
+                f"got token {frame.index}, expected {self.next_index}"
             )
         tokens = frame.tokens[self.next_index - frame.index :]
         if tokens:
@@ -98,9 +99,9 @@
         return len(tokens)
 
     def verify(self, frame: Tokens) -> None:
-        """Check the tokens of a frame against those held.
+        """Compare the tokens of a frame with those held.
 
-        Raises `OtherTokensError` where one differs.
+        Raises `OtherTokensError` if one differs.
         """
         held = self.tokens_from(frame.index)
         for mine, theirs in zip(held, frame.tokens, strict=False):
@@ -108,17 +109,17 @@
                 raise OtherTokensError("the repeated generation differs")
 
     def tokens_from(self, index: int) -> Iterator[str]:
-        """Yield the tokens held from `index` on."""
+        """Yield the tokens from `index` on."""
         for chunk in self._chunks_from(index):
             yield from chunk.decode()
 
     def frames_from(self, index: int) -> Iterator[tuple[int, bytes]]:
-        """Yield (index after it, data of a token frame) from `index` on."""
+        """Yield (next index, encoded token frame) from `index` on."""
         for chunk in self._chunks_from(index):
             yield chunk.index + chunk.count, chunk.data()
 
     def compact(self) -> None:
-        """Join small frames: for an answer that is complete and kept."""
+        """Join small frames to save memory, once the answer is complete."""
         joined: list[_Chunk] = []
         for start in range(0, len(self._chunks), COMPACT_FRAMES):
             joined.append(_join(self._chunks[start : start + COMPACT_FRAMES]))
@@ -142,7 +143,7 @@
 
 
 def _join(chunks: list[_Chunk]) -> _Chunk:
-    """Return one chunk with the tokens of several of one generation."""
+    """Return one chunk with the tokens of several consecutive chunks."""
     first = chunks[0]
     inner = [chunk.tokens_json[1:-1] for chunk in chunks]
     count = sum(chunk.count for chunk in chunks)
--- a/src/balsamlift/streams/_frames.py
+++ b/src/balsamlift/streams/_frames.py
@@ -1,4 +1,4 @@
-"""The frames of a stream and their form as server-sent events."""
+"""Stream frames and their encoding as server-sent events."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 FAILED = "failed"
 UNKNOWN = "unknown"
 
-WHOLE_REASONS = frozenset({"stop", "length"})  # of an upstream's end
+# Reasons in an upstream's end frame that make an answer whole.
+WHOLE_REASONS = frozenset({"stop", "length"})
 
 HEARTBEAT = b"event: heartbeat\ndata: {}\n\n"
 _SEPARATOR = b"\n\n"
@@ -25,20 +26,20 @@
 
 
 class FrameError(BalsamliftError):
-    """Tell that a frame does not have the form it should have."""
+    """Raise when a frame is malformed or out of sequence."""
 
 
 class EventTooLongError(FrameError):
-    """Tell that an event does not end within its bound."""
+    """Raise when an event exceeds the size limit."""
 
     def __init__(self, max_bytes: int) -> None:
-        """Name the bound."""
-        super().__init__(f"an event of more than {max_bytes} bytes")
+        """Set a message that names the limit."""
+        super().__init__(f"event of more than {max_bytes} bytes")
 
 
 @attrs.frozen(kw_only=True)
 class Accepted:
-    """Tell the caller that the request was admitted."""
+    """Confirm to the caller that the request was admitted."""
 
     key: str
     home: str
@@ -47,10 +48,10 @@
 
 @attrs.frozen(kw_only=True)
 class Start:
-    """Name the generation that the tokens come from.
+    """Identify the generation that the tokens come from.
 
     `verified_tokens` counts the tokens of an earlier generation that this
-    one was seen to repeat exactly.
+    one has repeated exactly.
     """
 
     generation: str
@@ -64,7 +65,7 @@
 
 @attrs.frozen(kw_only=True)
 class Tokens:
-    """Carry tokens from `index` on."""
+    """Carry consecutive tokens, the first at `index`."""
 
     generation: str
     index: int
@@ -73,7 +74,7 @@
 
 @attrs.frozen(kw_only=True)
 class GenerationEnd:
-    """End an upstream's stream."""
+    """Mark the end of an upstream's stream, with its token count."""
 
     generation: str
     tokens: int
@@ -82,7 +83,7 @@
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """Tell how a request ended: exactly one per request."""
+    """Report how a request ended; there is exactly one per request."""
 
     outcome: str  # WHOLE, REFUSED, FAILED or UNKNOWN
     reason: str = ""
@@ -94,13 +95,13 @@
 
 @attrs.frozen
 class Event:
-    """Hold one server-sent event, not yet decoded."""
+    """Represent one server-sent event with undecoded data."""
 
     name: str
     data: bytes
 
     def decode(self, kind: type[T]) -> T:
-        """Return the data as a `kind`; raise `FrameError`."""
+        """Return the data decoded as `kind`; raise `FrameError`."""
         try:
             return msgspec.json.decode(self.data, type=kind)
         except (msgspec.DecodeError, RecursionError) as error:
@@ -113,22 +114,22 @@
 
 
 def encode_raw_event(name: str, data: bytes) -> bytes:
-    """Return one server-sent event around encoded data."""
+    """Return one server-sent event with already encoded data."""
     return b"event: %b\ndata: %b\n\n" % (name.encode(), data)
 
 
 class EventParser:
-    """Cut a stream of bytes into events."""
+    """Parse a stream of bytes into server-sent events."""
 
     def __init__(self, max_event_bytes: int = MAX_EVENT_BYTES) -> None:
-        """Begin with nothing pending."""
+        """Start with an empty buffer."""
         self._max_bytes = max_event_bytes
         self._pending = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Event]:
         """Yield the events that `data` completes.
 
-        Raises `FrameError` for what is none, or is too long for one.
+        Raises `FrameError` for an event that is malformed or too long.
         """
         self._pending += data
         while (end := self._pending.find(_SEPARATOR)) >= 0:
@@ -152,4 +153,4 @@
     try:
         return Event(name.decode(), data)
     except UnicodeDecodeError as error:
-        raise FrameError("the name of an event is no text") from error
+        raise FrameError("event name is not valid UTF-8") from error
--- a/src/balsamlift/streams/_stream.py
+++ b/src/balsamlift/streams/_stream.py
@@ -1,4 +1,4 @@
-"""One stream from an upstream or a peer, over a connection of its own."""
+"""Client for event streams, each over a connection of its own."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 from balsamlift.exceptions import BalsamliftError
 from balsamlift.streams._frames import Event, EventParser, FrameError
 
-# Each takes 4.3 KB from the start: tornado makes all handles at once.
+# Each takes 4.3 KB up front: tornado creates all curl handles at once.
 MAX_STREAMS = 2_048
-MAX_BODY_BYTES = 1 << 40  # streams have no length of their own to bound
-MAX_ERROR_BYTES = 1 << 20  # kept of an answer that is no stream
+MAX_BODY_BYTES = 1 << 40  # practically unlimited: streams have no set length
+MAX_ERROR_BYTES = 1 << 20  # kept of the body of an error response
 OK = 200
-# A stream has no bound on its whole time: only connecting can time out.
+# Streams have no total timeout, so only connecting can time out.
 _NOT_CONNECTED = frozenset(
     {pycurl.E_COULDNT_CONNECT, pycurl.E_OPERATION_TIMEDOUT}
 )
 
 
 class StreamError(BalsamliftError):
-    """Be the base of everything that can end a stream early."""
+    """Serve as the base of errors that end a stream early."""
 
 
 class StreamUnreachableError(StreamError):
-    """Tell that no connection was made: not a byte left."""
+    """Raise when no connection was made, so that no byte was sent."""
 
 
 class StreamSilentError(StreamError):
-    """Tell that bytes left and the stream ended or went silent."""
+    """Raise when a stream fails or goes silent after the request was sent."""
 
 
 class StreamStatusError(StreamError):
-    """Tell that the answer was no stream but a status and a body."""
+    """Raise when the response has an error status instead of a stream."""
 
     def __init__(self, status: int, headers: dict[str, str], body: bytes):
-        """Keep what was answered."""
+        """Store the response."""
         super().__init__(f"status {status}")
         self.status = status
         self.headers = headers
@@ -52,14 +52,14 @@
 
 
 class StreamClient:
-    """Open streams; every one gets a fresh connection.
+    """Open streams, each over a new connection.
 
-    curl sends a request again by itself when a reused connection turns
-    out dead, which must not happen to a request that may run only once.
+    curl resends a request on its own when a reused connection turns out to
+    be dead. That must not happen to a request that may run only once.
     """
 
     def __init__(self) -> None:
-        """Make the client."""
+        """Create the curl client."""
         self._client = CurlAsyncHTTPClient(
             force_instance=True,
             max_clients=MAX_STREAMS,
@@ -76,7 +76,7 @@
         silence_ms: int,
         headers: dict[str, str] | None = None,
     ) -> Stream:
-        """Begin a stream; errors come from reading it."""
+        """Open a stream; errors are raised when it is read."""
         data = msgspec.json.encode(body) if method == "POST" else None
         return Stream(
             self._client,
@@ -107,7 +107,7 @@
         request: HTTPRequest,
         silence_s: float,
     ) -> None:
-        """Send the request."""
+        """Start sending the request."""
         self._silence_s = silence_s
         self._parser = EventParser()
         self._events: deque[Event] = deque()
@@ -126,10 +126,10 @@
         self._fetch.add_done_callback(self._on_end)
 
     async def events(self) -> AsyncGenerator[Event, None]:
-        """Yield events; end when the other side ends the stream.
+        """Yield events until the server ends the stream.
 
         Raises `StreamUnreachableError`, `StreamSilentError`,
-        `StreamStatusError` and, for what is no event, `FrameError`.
+        `StreamStatusError` and, for malformed events, `FrameError`.
         """
         timer = SilenceTimer(self._silence_s, self._on_silence)
         try:
@@ -141,7 +141,8 @@
                 if self._fetch.done():
                     self._check_end()
                     return
-                # Counted from here: a slow reader is no silent stream.
+                # The timer restarts here, so that the time a slow reader
+                # takes does not count as silence.
                 timer.note()
                 await self._wait_for_news()
         finally:
@@ -149,13 +150,13 @@
             self.close()
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately."""
         if self._socket is None:
             return
         try:
             self._socket.shutdown(socket.SHUT_RDWR)
         except OSError:
-            # The connection was never made or is gone already.
+            # The connection was never made or is already closed.
             return
 
     async def _wait_for_news(self) -> None:
@@ -163,7 +164,7 @@
         self._is_silent = False
         await self._news.wait()
         if self._is_silent:
-            raise StreamSilentError("silent for too long")
+            raise StreamSilentError("no data within the silence timeout")
 
     def _on_silence(self) -> None:
         self._is_silent = True
@@ -175,7 +176,7 @@
         try:
             response = self._fetch.result()
         except CurlError as error:
-            # Raised whatever `raise_error` says.
+            # Raised even with `raise_error=False`.
             if error.errno in _NOT_CONNECTED:
                 raise StreamUnreachableError(str(error)) from error
             raise StreamSilentError(str(error)) from error
@@ -198,8 +199,8 @@
     def _on_data(self, data: bytes) -> None:
         if self._broken is not None:
             return
-        # Asked of curl: tornado's header callback may come after the data
-        # when a short answer arrives at once.
+        # The status is read from curl: when a short response arrives at
+        # once, tornado may call the header callback after the data callback.
         if self._curl.getinfo(pycurl.RESPONSE_CODE) != OK:
             self._body += data[: MAX_ERROR_BYTES - len(self._body)]
         else:
@@ -215,7 +216,9 @@
 
     def _on_end(self, fetch: asyncio.Future[HTTPResponse]) -> None:
         if not fetch.cancelled():
-            fetch.exception()  # seen: who left the stream will not ask
+            # Marks the exception as retrieved: a reader that has left the
+            # stream will not.
+            fetch.exception()
         self._socket = None
         self._curl = None
         self._news.set()
