--- a/src/balsamlift/requests/__init__.py
+++ b/src/balsamlift/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests of callers: keys, dispatch, answers and outcomes."""
+"""Caller requests: idempotency keys, dispatch, answers and outcomes."""
 
 from balsamlift.requests._callers import Addresses, CallersServer, Place
 from balsamlift.requests._errors import (
--- a/src/balsamlift/requests/_replies.py
+++ b/src/balsamlift/requests/_base_handlers.py
@@ -12,7 +12,7 @@
 
 NOT_FOUND = 404
 METHOD_NOT_ALLOWED = 405
-INTERNAL = 500
+INTERNAL_SERVER_ERROR = 500
 _CODES = {NOT_FOUND: "route_missing", METHOD_NOT_ALLOWED: "method_wrong"}
 _MESSAGES = {
     NOT_FOUND: "no such route",
@@ -20,7 +20,7 @@
 }
 
 
-class TypedHandler(RequestHandler):
+class JsonErrorHandler(RequestHandler):
     """Send every error as `{"error", "message"}`."""
 
     def reply(self, status: int, body: bytes) -> None:
@@ -35,7 +35,7 @@
         if isinstance(error, RequestError):
             status_code, code = error.status, error.code
             message = error.message
-        elif status_code >= INTERNAL:
+        elif status_code >= INTERNAL_SERVER_ERROR:
             code, message = "internal", "an error of ours"
         else:
             code = _CODES.get(status_code, "bad_request")
@@ -56,7 +56,7 @@
         return value
 
 
-class MissingRouteHandler(TypedHandler):
+class MissingRouteHandler(JsonErrorHandler):
     """Respond 404 to every path without a route."""
 
     def prepare(self) -> None:
--- a/src/balsamlift/requests/_callers.py
+++ b/src/balsamlift/requests/_callers.py
@@ -1,4 +1,4 @@
-"""The HTTP address for callers."""
+"""HTTP server for callers: host addresses and requests."""
 
 from __future__ import annotations
 
@@ -14,22 +14,27 @@
 from balsamlift._http import CLOCK_HEADER
 from balsamlift.kernel import Kernel
 from balsamlift.operators import OperatorsServer
+from balsamlift.requests._base_handlers import (
+    JsonErrorHandler,
+    MissingRouteHandler,
+)
 from balsamlift.requests._handlers import RequestsHandler
-from balsamlift.requests._replies import MissingRouteHandler, TypedHandler
 from balsamlift.requests._service import Requests
 from balsamlift.requests._slots import Slots
 
-LIST_LENGTH = 4
+MAX_ADDRESSES = 4
 RETRY_AFTER_S = 1
 OK = 200
 UNAVAILABLE = 503
-PATTERN = r"/requests(?:/([^/]+))?"
-DRAINED_BODIES = 4  # how much of a body too large is read, to say so
+REQUESTS_PATTERN = r"/requests(?:/([^/]+))?"
+# Multiple of the body limit that is still read, so that the caller of an
+# oversized body receives the 413 instead of a connection reset.
+DRAIN_FACTOR = 4
 
 
 @attrs.frozen(kw_only=True)
 class Place:
-    """Name one host that a caller may use."""
+    """Describe one host that a caller may use."""
 
     host: str
     address: str
@@ -39,19 +44,19 @@
 
 @attrs.frozen(kw_only=True)
 class Addresses:
-    """Hold the hosts for a caller, the best first."""
+    """List the hosts for a caller, best first, and how long to cache them."""
 
     keep_ms: int
     addresses: list[Place]
 
 
 class CallersServer:
-    """Serve addresses and requests to callers."""
+    """Serve `/v1/addresses` and `/v1/requests` to callers."""
 
     name = "callers"
 
     def __init__(self, address: str) -> None:
-        """Bind `address`, "IP:port", so that the port is known early."""
+        """Bind `address` ("IP:port"); the port is known before the start."""
         ip, port = split_address(address)
         self._sockets = bind_sockets(port, ip)
         self.address = join_address(ip, self._sockets[0].getsockname()[1])
@@ -59,49 +64,53 @@
         self._server: HTTPServer | None = None
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to accept connections of callers and peers."""
+        """Start accepting connections from callers and peers."""
         self._requests = kernel.find("requests", Requests)
         operators = kernel.find("operators", OperatorsServer)
         peers = {"requests": self._requests}
-        operators.add_routes([("/v1/peer" + PATTERN, RequestsHandler, peers)])
+        operators.add_routes(
+            [("/v1/peer" + REQUESTS_PATTERN, RequestsHandler, peers)]
+        )
         limits = self._requests.parts.settings.limits
         slots = Slots(limits.streams)
         callers = {"requests": self._requests, "slots": slots}
         application = Application(
             [
                 (r"/v1/addresses", AddressesHandler, {"callers": self}),
-                ("/v1" + PATTERN, RequestsHandler, callers),
+                ("/v1" + REQUESTS_PATTERN, RequestsHandler, callers),
             ],
             default_handler_class=MissingRouteHandler,
         )
-        drained_bytes = limits.body_bytes * DRAINED_BODIES
+        max_drained_bytes = limits.body_bytes * DRAIN_FACTOR
         self._server = HTTPServer(
             application,
-            max_body_size=drained_bytes,
-            max_buffer_size=drained_bytes,
+            max_body_size=max_drained_bytes,
+            max_buffer_size=max_drained_bytes,
         )
         self._server.add_sockets(self._sockets)
 
     async def stop(self) -> None:
-        """Close the address and its connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.stop()
             await self._server.close_all_connections()
 
-    def places(self, failure_domain: str) -> list[Place]:
-        """Return hosts for a caller: those near first, one elsewhere.
+    def list_hosts(self, failure_domain: str) -> list[Place]:
+        """Return hosts for a caller: its own domain first, one elsewhere.
 
-        A host that is leaving, or has not caught up with the
-        configuration, is not among them.
+        Excludes hosts that are leaving or have not caught up with the
+        configuration.
         """
-        places = [*self._own_place(), *self._peers_places()]
-        self._random.shuffle(places)
-        near = [p for p in places if p.failure_domain == failure_domain]
-        far = [p for p in places if p.failure_domain != failure_domain]
-        chosen = near[: LIST_LENGTH - 1]
-        return chosen + far[: LIST_LENGTH - len(chosen)]
-
-    def _own_place(self) -> list[Place]:
+        hosts = [*self._own_entry(), *self._peer_entries()]
+        self._random.shuffle(hosts)
+        same_domain = [p for p in hosts if p.failure_domain == failure_domain]
+        other_domains = [
+            p for p in hosts if p.failure_domain != failure_domain
+        ]
+        chosen = same_domain[: MAX_ADDRESSES - 1]
+        return chosen + other_domains[: MAX_ADDRESSES - len(chosen)]
+
+    def _own_entry(self) -> list[Place]:
         parts = self._requests.parts
         ready = parts.presets.caught_up and parts.presets.in_force()
         if parts.peers.leaving or not ready:
@@ -114,7 +123,7 @@
         )
         return [place]
 
-    def _peers_places(self) -> list[Place]:
+    def _peer_entries(self) -> list[Place]:
         return [
             Place(
                 host=peer.host,
@@ -127,7 +136,7 @@
         ]
 
     def keep_ms(self) -> int:
-        """Return how long callers may keep a list."""
+        """Return how long callers may cache a list."""
         return self._requests.parts.settings.address_keep_ms
 
     def own_domain(self) -> str:
@@ -135,24 +144,24 @@
         return self._requests.parts.settings.failure_domain
 
     def stamp(self) -> str:
-        """Return the stamp of the clock."""
+        """Return the current timestamp of this host's logical clock."""
         return self._requests.parts.timeline.stamp()
 
 
-class AddressesHandler(TypedHandler):
-    """Tell callers which hosts to use."""
+class AddressesHandler(JsonErrorHandler):
+    """Serve the list of hosts that callers should use."""
 
     def initialize(self, callers: CallersServer) -> None:
-        """Keep the server that knows the hosts."""
+        """Store the server that lists the hosts."""
         self._callers = callers
 
     def get(self) -> None:
-        """Answer the list, or when to ask again."""
+        """Return the list, or 503 with Retry-After if it is empty."""
         domain = self.get_query_argument("failure_domain", "")
-        places = self._callers.places(domain or self._callers.own_domain())
+        hosts = self._callers.list_hosts(domain or self._callers.own_domain())
         self.set_header(CLOCK_HEADER, self._callers.stamp())
-        if not places:
+        if not hosts:
             self.set_header("Retry-After", str(RETRY_AFTER_S))
-        answer = Addresses(keep_ms=self._callers.keep_ms(), addresses=places)
-        status = OK if places else UNAVAILABLE
+        answer = Addresses(keep_ms=self._callers.keep_ms(), addresses=hosts)
+        status = OK if hosts else UNAVAILABLE
         self.reply(status, msgspec.json.encode(answer))
--- a/src/balsamlift/requests/_claimed.py
+++ b/src/balsamlift/requests/_claimed.py
@@ -1,4 +1,4 @@
-"""Requests under keys without a home: claimed on the log, then run."""
+"""Requests with unhomed keys: claimed on the log, then run."""
 
 from __future__ import annotations
 
@@ -12,53 +12,60 @@
     RequestError,
 )
 from balsamlift.requests._execution import Execution
+from balsamlift.requests._forwarder import RequestForwarder
 from balsamlift.requests._keys import Home, parse_home
 from balsamlift.requests._messages import RequestBody
 from balsamlift.requests._parts import Parts
-from balsamlift.requests._remote import Remote
-from balsamlift.requests._runner import Runner, refusal
-from balsamlift.requests._terms import Terms
+from balsamlift.requests._request_settings import RequestSettings
+from balsamlift.requests._runner import Runner, refused_outcome
 from balsamlift.streams import REFUSED, UNKNOWN
 
 
 class ClaimedRequests:
-    """Remember the requests that this host claimed or tried to claim."""
+    """Track the requests that this host claimed or tried to claim."""
 
     def __init__(
-        self, parts: Parts, home: Home, runner: Runner, remote: Remote
+        self,
+        parts: Parts,
+        home: Home,
+        runner: Runner,
+        forwarder: RequestForwarder,
     ) -> None:
-        """Begin with no claim."""
+        """Start without any claims."""
         self._parts = parts
         self._home = home
         self._runner = runner
-        self._remote = remote
+        self._forwarder = forwarder
         self._executions: dict[str, Execution] = {}
 
     def find(self, key: str) -> Execution | None:
-        """Return what is remembered of a key."""
+        """Return the execution of a key, if this host has one."""
         return self._executions.get(key)
 
     def submit(self, body: RequestBody) -> Execution:
-        """Claim a new key and run its request, or follow who did."""
-        # Entered before the claim is appended: a retry at this host waits
-        # for the same claim.
+        """Claim a new key and run its request, or follow the claim's holder.
+
+        Raises `RequestError` for errors in the request itself.
+        """
+        # Registered before the claim is appended, so that a retry at this
+        # host waits for the same claim.
         execution = Execution(body.key, body.workspace, body)
         self._executions[body.key] = execution
-        self._runner.kept.add(execution)
+        self._runner.registry.add(execution)
         try:
-            terms = self._runner.find_terms(body)
+            request_settings = self._runner.resolve_settings(body)
         except RefusedError as error:
-            self._turn_away(execution, body, error)
+            self._refuse(execution, body, error)
             return execution
         except RequestError:
             del self._executions[body.key]
             raise
-        claimed = self._claim_and_run(execution, body, terms)
+        claimed = self._claim_and_run(execution, body, request_settings)
         execution.task = asyncio.ensure_future(claimed)
         return execution
 
     def forget_old(self) -> None:
-        """Forget what ended longer ago than a key lives."""
+        """Drop executions that ended longer ago than the key lifetime."""
         now_s = self._parts.clock.monotonic()
         keep_s = self._parts.settings.limits.key_lifetime_ms / 1_000
         for key, execution in list(self._executions.items()):
@@ -67,54 +74,60 @@
                 del self._executions[key]
 
     async def _claim_and_run(
-        self, execution: Execution, body: RequestBody, terms: Terms
+        self,
+        execution: Execution,
+        body: RequestBody,
+        request_settings: RequestSettings,
     ) -> None:
         try:
             claim = await self._parts.presets.claim(body.key)
         except RefusedError as error:
-            self._turn_away(execution, body, error)
+            self._refuse(execution, body, error)
             return
         except KeyTooOldError as error:
             outcome = execution.fail(error.code, UNKNOWN)
             self._runner.finish(execution, outcome)
             return
         except RequestError as error:
-            # Dated in the future: no host takes such a key.
+            # The key's timestamp is in the future: no host accepts it.
             outcome = execution.fail(error.code, REFUSED)
             self._runner.finish(execution, outcome)
             return
         except asyncio.CancelledError:
-            # The claim may stand on the log, but this host dispatches no
-            # more; another may have run it after an earlier attempt.
+            # The claim may be on the log, but this host no longer
+            # dispatches. Another host may have run the request after an
+            # earlier attempt.
             kind = REFUSED if body.first_attempt else UNKNOWN
             outcome = execution.fail("cancelled", kind)
             self._runner.finish(execution, outcome)
             raise
         if claim:
-            await self._runner.run(execution, body, terms)
+            await self._runner.run(execution, body, request_settings)
             return
         await self._follow_claim(execution, body, claim.host)
 
-    def _turn_away(
+    def _refuse(
         self, execution: Execution, body: RequestBody, error: RefusedError
     ) -> None:
-        # Forgotten, for the caller is told to come back: a claim that
-        # stands on the log all the same is then won by this host.
+        # The execution is dropped because the caller is asked to retry. If
+        # the claim reached the log after all, this host still holds it
+        # when the retry arrives.
         del self._executions[execution.key]
-        outcome = refusal(error)
+        outcome = refused_outcome(error)
         if not body.first_attempt:
-            # Another host may have run it after an earlier attempt.
+            # Another host may have run it after an earlier attempt, so
+            # "refused" would be wrong.
             outcome = attrs.evolve(outcome, outcome=UNKNOWN)
         self._runner.finish(execution, outcome)
 
     async def _follow_claim(
         self, execution: Execution, body: RequestBody, holder: str
     ) -> None:
-        """Bring the answer from the host whose claim came first."""
+        """Fetch the answer from the host whose claim came first."""
         home = parse_home(holder)
         if home == self._home:
-            # Claimed by this run of the daemon, and forgotten since.
+            # Claimed by this incarnation, whose execution has been dropped.
             outcome = execution.fail("key_retired", UNKNOWN)
             self._runner.finish(execution, outcome)
             return
-        await self._remote.fill(home, execution, body)
+        await self._forwarder.follow_into(home, execution, body)
--- a/src/balsamlift/requests/_work.py
+++ b/src/balsamlift/requests/_dispatch.py
@@ -15,8 +15,8 @@
 from balsamlift.streams import REFUSED, Outcome
 
 RETRY_PAUSE_S = 0.05
-MAX_PAUSE_S = 1.0
-LEAST_RETRY_MS = 1_000  # if the refusal gives no retry time
+MAX_RETRY_PAUSE_S = 1.0
+DEFAULT_RETRY_AFTER_MS = 1_000  # if the refusal gives no retry time
 
 
 class NotRunError(BalsamliftError):
@@ -29,7 +29,7 @@
         self.retry_after_ms = retry_after_ms
 
 
-class LostError(BalsamliftError):
+class ExecutionLostError(BalsamliftError):
     """Raise when the request ran, or may have run, but cannot be followed.
 
     `ended` states that it is certainly no longer running.
@@ -43,7 +43,7 @@
 
 
 @attrs.define(eq=False)
-class Work:
+class Dispatch:
     """Hold one admitted request, its limits and the state of its dispatch."""
 
     parts: Parts
@@ -57,17 +57,17 @@
     deadline_s: float  # on the monotonic clock
     excluded: set[str] = attrs.field(factory=set)
     lost: bool = False  # whether it ran, or may have, on a lost upstream
-    waits_until_s: float | None = None  # for an upstream; None: not waiting
+    wait_deadline_s: float | None = None  # for an upstream; None: not waiting
     refusal: NotRunError | None = None  # the last one from an upstream
 
-    def note_lost(self, upstream: Upstream) -> None:
+    def mark_lost(self, upstream: Upstream) -> None:
         """Record that it ran, or may have, on this upstream and is lost."""
         self.lost = True
         self.excluded.add(upstream.name)
-        self.waits_until_s = None
+        self.wait_deadline_s = None
         self.refusal = None
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Return the seconds left until the deadline."""
         return self.deadline_s - self.parts.clock.monotonic()
 
@@ -76,69 +76,71 @@
         self.parts.timeline.record(kind, request=self.execution.key, **detail)
 
 
-async def next_upstream(work: Work) -> Upstream | Outcome:
+async def choose_upstream(dispatch: Dispatch) -> Upstream | Outcome:
     """Return the upstream to try next, or a refusal after the wait limit.
 
     An admitted request waits for an upstream for at most the preset's queue
     wait. Refusals by upstreams do not extend the wait.
     """
-    parts = work.parts
-    if work.waits_until_s is None:
+    parts = dispatch.parts
+    if dispatch.wait_deadline_s is None:
         now_s = parts.clock.monotonic()
-        work.waits_until_s = now_s + _longest_wait_s(work)
-    if work.excluded and not parts.placement.may_retry():
-        await parts.clock.sleep(MAX_PAUSE_S)
-    if work.refusal and parts.clock.monotonic() > work.waits_until_s:
-        return _refused(work.refusal)
+        dispatch.wait_deadline_s = now_s + _max_wait_s(dispatch)
+    if dispatch.excluded and not parts.placement.may_retry():
+        await parts.clock.sleep(MAX_RETRY_PAUSE_S)
+    if dispatch.refusal and parts.clock.monotonic() > dispatch.wait_deadline_s:
+        return _refused_outcome(dispatch.refusal)
     pause_s = RETRY_PAUSE_S
     while True:
         try:
-            excluded = frozenset(work.excluded)
-            chosen = parts.placement.choose(work.ticket, excluded)
+            excluded = frozenset(dispatch.excluded)
+            chosen = parts.placement.choose(dispatch.ticket, excluded)
             assert isinstance(chosen, Upstream)
             return chosen
         except RefusedError as error:
-            if parts.clock.monotonic() + pause_s > work.waits_until_s:
-                return _refused(error)
-        work.excluded.clear()
+            if parts.clock.monotonic() + pause_s > dispatch.wait_deadline_s:
+                return _refused_outcome(error)
+        dispatch.excluded.clear()
         await parts.clock.sleep(pause_s * random.uniform(0.5, 1.0))
-        pause_s = min(pause_s * 2, MAX_PAUSE_S)
+        pause_s = min(pause_s * 2, MAX_RETRY_PAUSE_S)
 
 
-def _refused(error: RefusedError | NotRunError) -> Outcome:
+def _refused_outcome(error: RefusedError | NotRunError) -> Outcome:
     return Outcome(
         outcome=REFUSED,
         reason=error.reason,
-        retry_after_ms=error.retry_after_ms or LEAST_RETRY_MS,
+        retry_after_ms=error.retry_after_ms or DEFAULT_RETRY_AFTER_MS,
     )
 
 
-def _longest_wait_s(work: Work) -> float:
-    in_force = work.parts.presets.in_force()
-    left_s = work.left_s()
+def _max_wait_s(dispatch: Dispatch) -> float:
+    in_force = dispatch.parts.presets.in_force()
+    remaining_s = dispatch.remaining_s()
     if in_force is None:
-        return left_s
-    return min(left_s, in_force.preset.policy.queue_wait_ms / 1_000)
+        return remaining_s
+    return min(remaining_s, in_force.preset.policy.queue_wait_ms / 1_000)
 
 
-def note_dispatch(work: Work, upstream: Upstream) -> None:
+def record_dispatch(dispatch: Dispatch, upstream: Upstream) -> None:
     """Record that from now on this upstream may be running the request."""
-    work.execution.dispatched = True
-    work.record("dispatched", upstream=upstream.name)
+    dispatch.execution.dispatched = True
+    dispatch.record("dispatched", upstream=upstream.name)
 
 
-def note_not_run(work: Work, upstream: Upstream, error: NotRunError) -> None:
+def record_not_run(
+    dispatch: Dispatch, upstream: Upstream, error: NotRunError
+) -> None:
     """Report to placement and peers that this upstream refused the request."""
-    parts = work.parts
-    work.excluded.add(upstream.name)
-    work.refusal = error
-    work.execution.dispatched = work.lost
+    parts = dispatch.parts
+    dispatch.excluded.add(upstream.name)
+    dispatch.refusal = error
+    dispatch.execution.dispatched = dispatch.lost
     parts.placement.handle_refusal(
-        work.ticket, upstream, error.reason, error.retry_after_ms
+        dispatch.ticket, upstream, error.reason, error.retry_after_ms
     )
     if error.reason == "draining":
         parts.upstreams.mark(upstream.name, "leaving", "refusal")
     elif error.reason == "unreachable":
         parts.upstreams.mark(upstream.name, "dead", "connect")
-    work.record("not_run", upstream=upstream.name, reason=error.reason)
+    dispatch.record("not_run", upstream=upstream.name, reason=error.reason)
     parts.metrics.count(f"requests.not_run.{error.reason}")
--- a/src/balsamlift/requests/_errors.py
+++ b/src/balsamlift/requests/_errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with what a caller sent."""
+"""Errors that are reported to callers with a status and a code."""
 
 from __future__ import annotations
 
@@ -6,28 +6,29 @@
 
 
 class BadBodyError(RequestError):
-    """Tell that the body is not the JSON that was expected."""
+    """Raise when the body is not JSON of the expected form."""
 
     code = "bad_body"
 
 
 class BodyTooLargeError(RequestError):
-    """Tell that the body is over the limit."""
+    """Raise when the body exceeds the size limit."""
 
     status = 413
     code = "body_too_large"
 
 
 class BadQueryError(RequestError):
-    """Tell that a query argument is missing or has no valid value."""
+    """Raise when a query argument is missing or invalid."""
 
     code = "bad_query"
 
 
 class StreamsFullError(RequestError):
-    """Tell that this host has no stream left, whatever becomes of the key.
+    """Raise when this host has no free stream for the caller.
 
-    No outcome: the key may run already, from an earlier try.
+    This is not an outcome of the request: its key may already be running
+    from an earlier attempt.
     """
 
     status = 503
@@ -35,12 +36,12 @@
 
 
 class BadKeyError(RequestError):
-    """Tell that the key has neither of the known forms."""
+    """Raise when the key has neither of the known forms."""
 
     code = "bad_key"
 
     def __init__(self) -> None:
-        """Say what a key looks like."""
+        """Set a message that describes both forms of a key."""
         super().__init__(
             "expected a key PREFIX.RANDOM under a prefix from /v1/addresses,"
             " or TIMESTAMP_MS-RANDOM, with 32 hex digits as RANDOM"
@@ -48,48 +49,48 @@
 
 
 class KeyReusedError(RequestError):
-    """Tell that the key belongs to a request with another body."""
+    """Raise when the key belongs to a request with a different body."""
 
     status = 409
     code = "key_reused"
 
 
 class KeyMissingError(RequestError):
-    """Tell that this workspace has no request with this key here."""
+    """Raise when this host has no request with this key and workspace."""
 
     status = 404
     code = "key_missing"
 
 
 class KindUnknownError(RequestError):
-    """Tell that the preset in force has no such kind."""
+    """Raise when the preset in force does not define the request kind."""
 
     code = "kind_unknown"
 
 
 class WorkspaceUnknownError(RequestError):
-    """Tell that the preset in force has no such workspace."""
+    """Raise when the preset in force does not define the workspace."""
 
     status = 403
     code = "workspace_unknown"
 
 
 class TokenWrongError(RequestError):
-    """Tell that the bearer token is not that of the workspace."""
+    """Raise when the bearer token does not match the workspace's."""
 
     status = 401
     code = "token_wrong"
 
 
 class IndexPastEndError(RequestError):
-    """Tell that a resume asked for tokens past those there are."""
+    """Raise when a resume starts after the last available token."""
 
     status = 416
     code = "index_past_end"
 
 
 class AnswerExpiredError(RequestError):
-    """Tell that the answer is no longer kept, only its outcome."""
+    """Raise when the answer has been dropped and only its outcome kept."""
 
     status = 410
     code = "answer_expired"
--- a/src/balsamlift/requests/_execution.py
+++ b/src/balsamlift/requests/_execution.py
@@ -1,4 +1,4 @@
-"""One request as this host sees it: its answer, its state, its outcome."""
+"""State of one request on this host: its answer, progress and outcome."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     Tokens,
 )
 
-_DROPPED = Answer()  # shared by all whose tokens are forgotten
+_DROPPED_ANSWER = Answer()  # shared by all executions whose answer was dropped
 
 
 class Execution:
-    """Hold what callers' connections wait for.
+    """Hold the state of one request and notify connections of changes.
 
-    Written by one task; read by any number of callers' connections. Many
-    are remembered, so what one holds after its end is kept small.
+    One task writes it; any number of callers' connections read it. A host
+    remembers many executions, so an ended one must take little memory.
     """
 
     __slots__ = (
-        "_news",
+        "_changed",
         "abandoned_s",
         "accepted",
         "answer",
@@ -55,7 +55,7 @@
         body: RequestBody | None = None,
         first_index: int = 0,
     ) -> None:
-        """Begin with nothing known."""
+        """Start without progress; `first_index` is the first token wanted."""
         self.key = key
         self.workspace = workspace
         self.body = body
@@ -73,49 +73,49 @@
         self.may_be_abandoned = False  # cancelled when no caller comes back
         self.task: asyncio.Task[None] | None = None
         self.on_unwatched: Callable[[Execution], None] | None = None
-        self._news: asyncio.Event | None = None
+        self._changed: asyncio.Event | None = None
 
     @property
-    def holds_back(self) -> bool:
-        """Return whether no token may leave before the answer is whole."""
+    def is_withheld(self) -> bool:
+        """Return whether tokens are withheld until the answer is whole."""
         whole_only = self.body is not None and (
             self.body.delivery == WHOLE_ONLY
         )
         return whole_only and self.outcome is None
 
     @property
-    def news(self) -> asyncio.Event:
-        """Return the event that is set at the next change."""
-        if self._news is None:
-            self._news = asyncio.Event()
-        return self._news
+    def changed(self) -> asyncio.Event:
+        """Return an event that is set at the next change."""
+        if self._changed is None:
+            self._changed = asyncio.Event()
+        return self._changed
 
     def notify(self) -> None:
-        """Wake everyone who waits for a change."""
-        news = self._news
-        self._news = None
-        if news is not None:
-            news.set()
+        """Wake all connections that wait for a change."""
+        changed = self._changed
+        self._changed = None
+        if changed is not None:
+            changed.set()
 
     def accept(self, accepted: Accepted) -> None:
-        """Say that the request was admitted."""
+        """Record that the request was admitted."""
         self.accepted = accepted
         self.notify()
 
     def begin(self, start: Start) -> None:
-        """Say which generation the tokens come from."""
+        """Record the generation that the tokens come from."""
         self.start = start
         self.notify()
 
-    def take(self, frame: Tokens) -> int:
-        """Add the new tokens of a frame and return their number."""
+    def append_tokens(self, frame: Tokens) -> int:
+        """Append the new tokens of a frame and return their number."""
         added = self.answer.append(frame)
         if added:
             self.notify()
         return added
 
     def finish(self, outcome: Outcome, now_s: float) -> None:
-        """Say how it ended: the first word stands."""
+        """Record the outcome; later calls have no effect."""
         if self.outcome is not None:
             return
         self.outcome = outcome
@@ -124,34 +124,34 @@
         self.notify()
 
     def watch(self) -> None:
-        """Count one more caller's connection."""
+        """Add a caller's connection to the count of watchers."""
         self.watchers += 1
 
     def unwatch(self) -> None:
-        """Count one caller's connection less."""
+        """Remove a caller's connection; report when none is left."""
         self.watchers -= 1
         if not self.watchers and self.on_unwatched is not None:
             self.on_unwatched(self)
 
     def drop_answer(self) -> None:
-        """Forget the tokens and the body; the outcome stays."""
+        """Release the tokens and the body; keep the outcome."""
         if self.answer_dropped or self.outcome is None:
             return
         self.answer_dropped = True
-        self.answer = _DROPPED
+        self.answer = _DROPPED_ANSWER
         self.body = None
         self.task = None
         self.accepted = None
         self.start = None
         self.outcome = attrs.evolve(self.outcome, result=None)
 
-    def restart_reading(self) -> None:
-        """Make room for the tokens before those that were asked for."""
+    def reset_first_index(self) -> None:
+        """Reset an answer that starts past index 0, to read it in full."""
         if self.answer.first_index > 0:
             self.answer = Answer()
 
     def fail(self, reason: str, kind: str = FAILED) -> Outcome:
-        """Return the outcome for an answer that is not whole."""
+        """Return an outcome of this kind for the tokens received so far."""
         return Outcome(
             outcome=kind,
             reason=reason,
@@ -160,10 +160,10 @@
         )
 
     async def wait_settled(self, timeout_s: float) -> None:
-        """Wait until admitted, refused or `timeout_s` is over."""
+        """Wait until admitted or ended, for at most `timeout_s`."""
         try:
             async with asyncio.timeout(timeout_s):
                 while self.accepted is None and self.outcome is None:
-                    await self.news.wait()
+                    await self.changed.wait()
         except TimeoutError:
             return
--- a/src/balsamlift/requests/_remote.py
+++ b/src/balsamlift/requests/_forwarder.py
@@ -18,12 +18,12 @@
 
 from balsamlift._http import CallError
 from balsamlift.peers import Peer
-from balsamlift.requests._adoption import adopt, ask_upstreams
 from balsamlift.requests._errors import KeyMissingError
 from balsamlift.requests._execution import Execution
 from balsamlift.requests._keys import Home
 from balsamlift.requests._messages import RequestBody
 from balsamlift.requests._parts import Parts
+from balsamlift.requests._recovery import recover_by_key, recover_from_engine
 from balsamlift.streams import (
     FAILED,
     REFUSED,
@@ -41,14 +41,14 @@
 
 HOPS_HEADER = "X-Balsamlift-Hops"
 MAX_HOPS = 1
-TRIES = 4
-PAUSE_S = 0.1
-ASK_AGAIN_MS = 1_000
+MAX_ATTEMPTS = 4
+RETRY_PAUSE_S = 0.1
+RETRY_AFTER_MS = 1_000
 NOT_FOUND = 404
 CONFLICT = 409
 GONE = 410
 SERVER_ERROR = 500
-RELAYS = 2  # peers tried as relays to a home that is unreachable from here
+MAX_RELAYS = 2  # peers tried as relays to a home that is unreachable from here
 
 
 @attrs.frozen(kw_only=True)
@@ -62,7 +62,7 @@
 
 
 @attrs.define(eq=False)
-class _Pass:
+class _ForwardedRequest:
     """Hold the state of one request that is forwarded to its home.
 
     `engine` names the upstream and the generation if the caller knew them.
@@ -73,10 +73,10 @@
     body: RequestBody | None
     engine: tuple[str, str] | None
     hops: int
-    tries: int = 0
+    attempts: int = 0
 
 
-class Remote:
+class RequestForwarder:
     """Forward requests to their homes and relay the answers."""
 
     def __init__(self, parts: Parts) -> None:
@@ -93,8 +93,8 @@
     def submit(self, home: Home, body: RequestBody, hops: int) -> Execution:
         """Forward a request to its home and follow the answer."""
         execution = Execution(body.key, body.workspace, body)
-        passed = _Pass(home, execution, body, None, hops)
-        self._spawn(self._follow(passed), execution)
+        forwarded = _ForwardedRequest(home, execution, body, None, hops)
+        self._spawn(self._follow(forwarded), execution)
         return execution
 
     def follow(
@@ -108,15 +108,15 @@
     ) -> Execution:
         """Follow a request at its home, starting at `first_index`."""
         execution = Execution(key, workspace, None, first_index)
-        passed = _Pass(home, execution, None, engine, hops)
-        self._spawn(self._follow(passed), execution)
+        forwarded = _ForwardedRequest(home, execution, None, engine, hops)
+        self._spawn(self._follow(forwarded), execution)
         return execution
 
-    async def fill(
+    async def follow_into(
         self, home: Home, execution: Execution, body: RequestBody
     ) -> None:
         """Follow a request at another host into an existing execution."""
-        await self._follow(_Pass(home, execution, body, None, 0))
+        await self._follow(_ForwardedRequest(home, execution, body, None, 0))
 
     async def cancel(self, home: Home, key: str, workspace: str) -> bool:
         """Ask the home to cancel; return whether the request was cancelled.
@@ -143,50 +143,52 @@
         self._tasks.add(task)
         self._executions.add(execution)
         task.add_done_callback(self._tasks.discard)
-        execution.on_unwatched = self._unwatch
+        execution.on_unwatched = self._on_unwatched
 
-    def _unwatch(self, execution: Execution) -> None:
+    def _on_unwatched(self, execution: Execution) -> None:
         # No caller reads from this host any more. The request goes on at
         # its home.
         self._executions.discard(execution)
         if execution.task is not None:
             execution.task.cancel()
 
-    async def _follow(self, passed: _Pass) -> None:
-        execution = passed.execution
+    async def _follow(self, forwarded: _ForwardedRequest) -> None:
+        execution = forwarded.execution
         try:
-            outcome = await self._follow_home(passed)
+            outcome = await self._follow_home(forwarded)
         except asyncio.CancelledError:
             outcome = execution.fail("cancelled_here", UNKNOWN)
             execution.finish(outcome, self._parts.clock.monotonic())
             raise
         execution.finish(outcome, self._parts.clock.monotonic())
 
-    async def _follow_home(self, passed: _Pass) -> Outcome:
-        pause_s = PAUSE_S
-        for _ in range(TRIES):
-            routes = self._routes(passed.home, passed.hops)
+    async def _follow_home(self, forwarded: _ForwardedRequest) -> Outcome:
+        pause_s = RETRY_PAUSE_S
+        for _ in range(MAX_ATTEMPTS):
+            routes = self._routes(forwarded.home, forwarded.hops)
             for peer in routes:
-                outcome = await self._try(passed, peer)
+                outcome = await self._forward(forwarded, peer)
                 if outcome is not None:
                     return outcome
             if not routes:
                 break
             await self._parts.clock.sleep(pause_s)
             pause_s *= 2
-        return await self._without_home(passed)
-
-    async def _try(self, passed: _Pass, peer: Peer) -> Outcome | None:
-        execution = passed.execution
-        stream = self._open(passed, peer)
-        passed.tries += 1
+        return await self._recover_without_home(forwarded)
+
+    async def _forward(
+        self, forwarded: _ForwardedRequest, peer: Peer
+    ) -> Outcome | None:
+        execution = forwarded.execution
+        stream = self._open(forwarded, peer)
+        forwarded.attempts += 1
         self._parts.timeline.record(
             "passed_on", request=execution.key, to=peer.host
         )
         try:
-            return await _read_home(execution, stream)
+            return await _read_stream(execution, stream)
         except StreamStatusError as error:
-            return _status_outcome(passed, error)
+            return _status_outcome(forwarded, error)
         except (StreamError, FrameError) as error:
             self._parts.timeline.record(
                 "pass_lost",
@@ -196,10 +198,10 @@
             )
             return None
 
-    def _open(self, passed: _Pass, peer: Peer) -> Stream:
-        execution = passed.execution
+    def _open(self, forwarded: _ForwardedRequest, peer: Peer) -> Stream:
+        execution = forwarded.execution
         streams = self._parts.settings.streams
-        method, path, body = "POST", "", passed.body
+        method, path, body = "POST", "", forwarded.body
         if body is None or execution.accepted is not None:
             method, body = "GET", None
             path = (
@@ -213,77 +215,85 @@
             body,
             connect_ms=streams.connect_ms,
             silence_ms=streams.upstream_silence_ms,
-            headers={HOPS_HEADER: str(passed.hops + 1)},
+            headers={HOPS_HEADER: str(forwarded.hops + 1)},
         )
 
     def _routes(self, home: Home, hops: int) -> list[Peer]:
         """Return the peers that can answer for a key, best first."""
         peers = self._parts.peers.live()
         holders = [p for p in peers if home.name in p.taken_over]
-        itself = [p for p in peers if Home(p.host, p.incarnation) == home]
-        routes = [*holders, *itself]
+        home_peers = [p for p in peers if Home(p.host, p.incarnation) == home]
+        routes = [*holders, *home_peers]
         if routes and hops < MAX_HOPS:
             # The link to the home may be cut in one direction only; other
             # peers may still reach it.
             others = [p for p in peers if p not in routes and not p.leaving]
-            routes += others[:RELAYS]
+            routes += others[:MAX_RELAYS]
         return routes
 
-    async def _without_home(self, passed: _Pass) -> Outcome:
+    async def _recover_without_home(
+        self, forwarded: _ForwardedRequest
+    ) -> Outcome:
         """Recover the answer from upstreams, or return "unknown"."""
-        execution = passed.execution
-        engine = passed.engine
+        execution = forwarded.execution
+        engine = forwarded.engine
         if execution.start is not None and execution.start.upstream:
             engine = (execution.start.upstream, execution.start.generation)
         if engine is not None:
-            outcome = await adopt(self._parts, execution, *engine)
+            outcome = await recover_from_engine(
+                self._parts, execution, *engine
+            )
         else:
-            outcome = await ask_upstreams(self._parts, execution)
+            outcome = await recover_by_key(self._parts, execution)
         if outcome is not None:
             return outcome
         unknown = execution.fail("home_lost", UNKNOWN)
-        return attrs.evolve(unknown, retry_after_ms=ASK_AGAIN_MS)
+        return attrs.evolve(unknown, retry_after_ms=RETRY_AFTER_MS)
 
 
 def _url(peer: Peer, path: str) -> str:
     return f"http://{peer.operators_address}/v1/peer/requests{path}"
 
 
-def _status_outcome(passed: _Pass, error: StreamStatusError) -> Outcome | None:
+def _status_outcome(
+    forwarded: _ForwardedRequest, error: StreamStatusError
+) -> Outcome | None:
     """Return the outcome for an error status; None to try again."""
     try:
         return msgspec.json.decode(error.body, type=Outcome)
     except msgspec.DecodeError:
         pass
-    execution = passed.execution
+    execution = forwarded.execution
     if error.status == NOT_FOUND and execution.accepted is None:
         return execution.fail("key_missing", UNKNOWN)
     if error.status == NOT_FOUND or error.status >= SERVER_ERROR:
         return None
-    return _client_error_outcome(passed, error)
+    return _client_error_outcome(forwarded, error)
 
 
-def _client_error_outcome(passed: _Pass, error: StreamStatusError) -> Outcome:
+def _client_error_outcome(
+    forwarded: _ForwardedRequest, error: StreamStatusError
+) -> Outcome:
     """Return the outcome for a status that reports an error of the caller."""
     try:
         code = msgspec.json.decode(error.body, type=_Error).error
     except msgspec.DecodeError:
         code = f"status_{error.status}"
     if error.status == GONE:
-        return passed.execution.fail(code, FAILED)
+        return forwarded.execution.fail(code, FAILED)
     # An earlier attempt may have started the request, whatever the answer
     # to this one.
-    certain = passed.body is not None and passed.tries == 1
-    if certain or error.status == CONFLICT:
+    did_not_run = forwarded.body is not None and forwarded.attempts == 1
+    if did_not_run or error.status == CONFLICT:
         return Outcome(outcome=REFUSED, reason=code)
-    return passed.execution.fail(code, UNKNOWN)
+    return forwarded.execution.fail(code, UNKNOWN)
 
 
-async def _read_home(execution: Execution, stream: Stream) -> Outcome:
+async def _read_stream(execution: Execution, stream: Stream) -> Outcome:
     async with contextlib.aclosing(stream.events()) as events:
         async for event in events:
             if event.name == "token":
-                execution.take(event.decode(Tokens))
+                execution.append_tokens(event.decode(Tokens))
             elif event.name == "accepted":
                 execution.accept(event.decode(Accepted))
             elif event.name == "start":
--- a/src/balsamlift/requests/_handlers.py
+++ b/src/balsamlift/requests/_handlers.py
@@ -14,6 +14,10 @@
 from balsamlift._http import CLOCK_HEADER
 from balsamlift._silence import SilenceTimer
 from balsamlift.exceptions import RefusedError
+from balsamlift.requests._base_handlers import (
+    METHOD_NOT_ALLOWED,
+    JsonErrorHandler,
+)
 from balsamlift.requests._errors import (
     AnswerExpiredError,
     BadQueryError,
@@ -22,9 +26,8 @@
     StreamsFullError,
 )
 from balsamlift.requests._execution import Execution
+from balsamlift.requests._forwarder import HOPS_HEADER, MAX_HOPS
 from balsamlift.requests._messages import decode_request
-from balsamlift.requests._remote import HOPS_HEADER, MAX_HOPS
-from balsamlift.requests._replies import METHOD_NOT_ALLOWED, TypedHandler
 from balsamlift.requests._service import Requests
 from balsamlift.requests._slots import Slots
 from balsamlift.streams import (
@@ -39,15 +42,15 @@
     encode_raw_event,
 )
 
-STATUS = {REFUSED: 503, UNKNOWN: 504}
+OUTCOME_STATUS = {REFUSED: 503, UNKNOWN: 504}
 BEARER = "Bearer "
-FRAMES_IN_A_ROW = 32
+FRAMES_PER_YIELD = 32
 RETRY_AFTER_S = 1
 MAX_INDEX_DIGITS = 12
 
 
 @stream_request_body
-class RequestsHandler(TypedHandler):
+class RequestsHandler(JsonErrorHandler):
     """Submit, read or cancel one request.
 
     The rest of a body over the limit is read and discarded: closing the
@@ -63,7 +66,7 @@
         the token and the limits.
         """
         self._requests = requests
-        self._trusted = slots is None
+        self._is_peer = slots is None
         self._slots = slots
         self._timeline = requests.parts.timeline
         self._closed = False
@@ -94,7 +97,7 @@
         body = decode_request(bytes(self._body))
         self._body.clear()
         self._authorize(body.workspace)
-        with self._slot():
+        with self._stream_slot():
             execution = self._requests.submit(body, self._hops())
             _check_index(execution, 0)
             await self._deliver(execution, 0)
@@ -106,7 +109,7 @@
         workspace = self.query("workspace")
         self._authorize(workspace)
         first_index = self._index()
-        with self._slot():
+        with self._stream_slot():
             execution = self._requests.follow(
                 key, workspace, first_index, self._engine(), self._hops()
             )
@@ -147,19 +150,19 @@
 
     def _is_too_large(self) -> bool:
         # A peer has already applied the limit to what it forwards.
-        return not self._trusted and self._body_bytes > self._limit()
+        return not self._is_peer and self._body_bytes > self._limit()
 
-    def _slot(self) -> AbstractContextManager[None]:
-        return self._slots.taken() if self._slots else nullcontext()
+    def _stream_slot(self) -> AbstractContextManager[None]:
+        return self._slots.acquire() if self._slots else nullcontext()
 
     def _authorize(self, workspace: str) -> None:
-        if self._trusted:
+        if self._is_peer:
             return
         header = self.request.headers.get("Authorization", "")
         self._requests.authorize(workspace, header.removeprefix(BEARER))
 
     def _hops(self) -> int:
-        if not self._trusted:
+        if not self._is_peer:
             return 0
         hops = self.request.headers.get(HOPS_HEADER, "1")
         return int(hops) if hops in ("0", "1", "2") else MAX_HOPS
@@ -179,7 +182,7 @@
         execution.watch()
         try:
             await execution.wait_settled(self._heartbeat_s())
-            if _ended_at_once(execution):
+            if _ended_without_start(execution):
                 assert execution.outcome is not None
                 self._reply_outcome(execution.outcome)
                 return
@@ -204,7 +207,9 @@
         if outcome.retry_after_ms is not None:
             seconds = math.ceil(outcome.retry_after_ms / 1_000)
             self.set_header("Retry-After", str(seconds))
-        self.reply(STATUS[outcome.outcome], msgspec.json.encode(outcome))
+        self.reply(
+            OUTCOME_STATUS[outcome.outcome], msgspec.json.encode(outcome)
+        )
 
     async def send(self, frame: bytes) -> None:
         """Send one frame; a slow caller delays only its own stream.
@@ -219,8 +224,8 @@
         if flushed.done():
             flushed.result()  # raises StreamClosedError
             return
-        bound_s = self._requests.parts.settings.streams.abandon_ms / 1_000
-        async with asyncio.timeout(bound_s):
+        timeout_s = self._requests.parts.settings.streams.abandon_ms / 1_000
+        async with asyncio.timeout(timeout_s):
             await flushed
 
     def begin_stream(self) -> None:
@@ -263,19 +268,19 @@
         execution = self._execution
         execution.delivered = max(execution.delivered, self._index)
         while True:
-            news = execution.news
+            changed = execution.changed
             if self._heartbeat_is_due:
                 await self._send_frame(HEARTBEAT)
-            await self._write_heads()
+            await self._write_header_frames()
             await self._write_tokens()
-            if news is not execution.news:
+            if changed is not execution.changed:
                 continue
             if execution.outcome is not None:
                 await self._write_end(execution.outcome)
                 return
-            await news.wait()
+            await changed.wait()
 
-    async def _write_heads(self) -> None:
+    async def _write_header_frames(self) -> None:
         execution = self._execution
         if self._accepted is not execution.accepted and execution.accepted:
             self._accepted = execution.accepted
@@ -286,18 +291,18 @@
 
     async def _write_tokens(self) -> None:
         execution = self._execution
-        if execution.holds_back:
+        if execution.is_withheld:
             return
         frames = execution.answer.frames_from(self._index)
         # Sent one at a time, so that a caller that does not read costs the
         # memory of one frame only.
-        for count, (after, data) in enumerate(frames, 1):
+        for count, (index_after, data) in enumerate(frames, 1):
             # Counted before sending: tokens that may have reached a caller
             # cannot be replaced by those of another generation.
-            execution.delivered = max(execution.delivered, after)
-            self._index = after
+            execution.delivered = max(execution.delivered, index_after)
+            self._index = index_after
             await self._send_frame(encode_raw_event("token", data))
-            if count % FRAMES_IN_A_ROW == 0:
+            if count % FRAMES_PER_YIELD == 0:
                 # Replaying a long answer must not block the event loop.
                 await asyncio.sleep(0)
 
@@ -320,20 +325,24 @@
         await self._handler.send(frame)
 
 
-def _ended_at_once(execution: Execution) -> bool:
+def _ended_without_start(execution: Execution) -> bool:
     if execution.outcome is None or execution.start is not None:
         return False
-    return execution.outcome.outcome in STATUS
+    return execution.outcome.outcome in OUTCOME_STATUS
 
 
 def _check_index(execution: Execution, first_index: int) -> None:
-    dropped = execution.outcome if execution.answer_dropped else None
-    if dropped is None and execution.answer.first_index > 0:
+    dropped_outcome = execution.outcome if execution.answer_dropped else None
+    if dropped_outcome is None and execution.answer.first_index > 0:
         return  # the home checks the index
-    end = dropped.tokens if dropped else execution.answer.next_index
+    end = (
+        dropped_outcome.tokens
+        if dropped_outcome
+        else execution.answer.next_index
+    )
     if first_index > end:
         raise IndexPastEndError(f"expected at most {end}")
     # A service's result has no tokens, so index 0 never has all of it.
     has_all = first_index >= max(end, 1)
-    if dropped and dropped.outcome == WHOLE and not has_all:
+    if dropped_outcome and dropped_outcome.outcome == WHOLE and not has_all:
         raise AnswerExpiredError("the answer is no longer kept")
--- a/src/balsamlift/requests/_handover.py
+++ b/src/balsamlift/requests/_handover.py
@@ -33,7 +33,7 @@
 
 HANDOVER_TIMEOUT_MS = 10_000
 BAD_REQUEST = 400
-KEPT_LIFETIMES = 2
+RETENTION_LIFETIMES = 2
 
 
 @attrs.frozen(kw_only=True)
@@ -59,8 +59,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class _TakenTable:
-    taken_s: float
+class _ReceivedTable:
+    received_s: float
     oldest_epoch: int
     executions: dict[str, Execution]
 
@@ -72,7 +72,7 @@
         """Start without any tables taken over."""
         self._parts = parts
         self._home = home
-        self._tables: dict[Home, _TakenTable] = {}
+        self._tables: dict[Home, _ReceivedTable] = {}
 
     def find(self, key: HomedKey, workspace: str) -> Execution | None:
         """Return the execution of a key whose host has left.
@@ -86,22 +86,22 @@
         execution = table.executions.get(key.text)
         if execution is None:
             execution = Execution(key.text, workspace)
-            outcome = _outcome_of_absent(key, table)
+            outcome = _absent_key_outcome(key, table)
             execution.finish(outcome, self._parts.clock.monotonic())
         if execution.workspace != workspace:
             raise KeyMissingError("no such request")
         return execution
 
-    def take(self, message: KeyTableMessage) -> None:
+    def receive(self, message: KeyTableMessage) -> None:
         """Store the table of a leaving host and announce it to peers."""
         home = Home(message.host, message.incarnation)
         now_s = self._parts.clock.monotonic()
-        self._tables[home] = _TakenTable(
-            taken_s=now_s,
+        self._tables[home] = _ReceivedTable(
+            received_s=now_s,
             oldest_epoch=message.oldest_epoch,
-            executions={r.key: _execution(r, now_s) for r in message.keys},
+            executions={r.key: _from_record(r, now_s) for r in message.keys},
         )
-        self._tell_peers()
+        self._announce_tables()
         self._parts.timeline.record(
             "keys_taken_over", home=home.host, keys=len(message.keys)
         )
@@ -111,11 +111,11 @@
         lifetime_s = self._parts.settings.limits.key_lifetime_ms / 1_000
         now_s = self._parts.clock.monotonic()
         for home, table in list(self._tables.items()):
-            if now_s - table.taken_s > KEPT_LIFETIMES * lifetime_s:
+            if now_s - table.received_s > RETENTION_LIFETIMES * lifetime_s:
                 del self._tables[home]
-                self._tell_peers()
+                self._announce_tables()
 
-    def _tell_peers(self) -> None:
+    def _announce_tables(self) -> None:
         self._parts.peers.set_taken_over([h.name for h in self._tables])
 
     async def send(
@@ -130,7 +130,7 @@
             host=self._home.host,
             incarnation=self._home.incarnation,
             oldest_epoch=oldest_epoch,
-            keys=[_record(e) for e in executions],
+            keys=[_to_record(e) for e in executions],
         )
         url = f"http://{successor.operators_address}/v1/peer/keys"
         try:
@@ -148,12 +148,12 @@
 
     def _choose_successor(self) -> Peer | None:
         peers = [p for p in self._parts.peers.live() if not p.leaving]
-        same = [
+        same_domain = [
             p
             for p in peers
             if p.failure_domain == self._parts.settings.failure_domain
         ]
-        candidates = sorted(same or peers, key=lambda p: p.host)
+        candidates = sorted(same_domain or peers, key=lambda p: p.host)
         return candidates[0] if candidates else None
 
 
@@ -173,17 +173,17 @@
         except msgspec.DecodeError as error:
             self.reply({"reason": str(error)}, BAD_REQUEST)
             return
-        self._handover.take(message)
+        self._handover.receive(message)
         self.reply({"taken": len(message.keys)})
 
 
-def _outcome_of_absent(key: HomedKey, table: _TakenTable) -> Outcome:
+def _absent_key_outcome(key: HomedKey, table: _ReceivedTable) -> Outcome:
     if key.epoch < table.oldest_epoch:
         return Outcome(outcome=UNKNOWN, reason="key_retired")
     return Outcome(outcome=REFUSED, reason="home_left", retry_after_ms=0)
 
 
-def _record(execution: Execution) -> KeyRecord:
+def _to_record(execution: Execution) -> KeyRecord:
     # A request that did not end before the shutdown deadline may have run.
     outcome = execution.outcome or execution.fail("home_left", UNKNOWN)
     return KeyRecord(
@@ -195,7 +195,7 @@
     )
 
 
-def _execution(record: KeyRecord, now_s: float) -> Execution:
+def _from_record(record: KeyRecord, now_s: float) -> Execution:
     execution = Execution(record.key, record.workspace)
     if record.generation:
         execution.answer.begin(record.generation)
--- a/src/balsamlift/requests/_messages.py
+++ b/src/balsamlift/requests/_messages.py
@@ -58,11 +58,11 @@
         raise BadBodyError(f"bad request body: {error}") from error
     except RecursionError as error:
         raise _too_deep() from error
-    _check(body)
+    _validate(body)
     return body
 
 
-def _check(body: RequestBody) -> None:
+def _validate(body: RequestBody) -> None:
     for name in ("workspace", "kind"):
         if not 0 < len(getattr(body, name)) <= _MAX_NAME:
             raise BadBodyError(f"{name}: expected 1 to {_MAX_NAME} characters")
@@ -77,14 +77,14 @@
     _check_depth(body.payload, _MAX_DEPTH)
 
 
-def _check_depth(value: Any, left: int) -> None:
+def _check_depth(value: Any, levels_left: int) -> None:
     if not isinstance(value, (dict, list)):
         return
-    if not left:
+    if not levels_left:
         raise _too_deep()
     members = value.values() if isinstance(value, dict) else value
     for member in members:
-        _check_depth(member, left - 1)
+        _check_depth(member, levels_left - 1)
 
 
 def _too_deep() -> BadBodyError:
--- a/src/balsamlift/requests/_adoption.py
+++ b/src/balsamlift/requests/_recovery.py
@@ -1,6 +1,6 @@
-"""Bring an answer from its upstream when the home is gone.
+"""Recover an answer from its upstream when the key's home is gone.
 
-Reading a generation again runs nothing again, so any host may do it.
+Rereading a generation does not run it again, so any host may do it.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 import attrs
 
 from balsamlift.peers import Upstream
-from balsamlift.requests._by_key import find_by_key, wait_result
 from balsamlift.requests._execution import Execution
+from balsamlift.requests._key_lookup import find_by_key, wait_for_result
 from balsamlift.requests._parts import Parts
 from balsamlift.streams import (
     FAILED,
@@ -32,40 +32,42 @@
     Tokens,
 )
 
-TRIES = 4
-PAUSE_S = 0.1
+MAX_ATTEMPTS = 4
+RETRY_PAUSE_S = 0.1
 
 
-async def ask_upstreams(parts: Parts, execution: Execution) -> Outcome | None:
-    """Return the outcome that an upstream tells by key, if one does."""
-    found = await find_by_key(parts, execution)
-    if found is None:
+async def recover_by_key(parts: Parts, execution: Execution) -> Outcome | None:
+    """Return the outcome found by asking upstreams for the key, if any."""
+    match = await find_by_key(parts, execution)
+    if match is None:
         return None
-    if found.upstream.kind == "engine":
-        generation = found.key_state.generation
-        return await adopt(parts, execution, found.upstream.name, generation)
-    return await wait_result(parts, execution, found)
+    if match.upstream.kind == "engine":
+        generation = match.key_state.generation
+        return await recover_from_engine(
+            parts, execution, match.upstream.name, generation
+        )
+    return await wait_for_result(parts, execution, match)
 
 
-async def adopt(
+async def recover_from_engine(
     parts: Parts, execution: Execution, upstream_name: str, generation: str
 ) -> Outcome | None:
-    """Read the whole generation from its engine; None if it can't."""
+    """Reread the whole generation from its engine; None if that fails."""
     upstream = parts.upstreams.find(upstream_name)
     if upstream is None or upstream.kind != "engine":
         return None
     parts.timeline.record(
         "adopted", request=execution.key, upstream=upstream_name
     )
-    execution.restart_reading()
-    for _ in range(TRIES):
+    execution.reset_first_index()
+    for _ in range(MAX_ATTEMPTS):
         stream = _open(parts, execution, upstream, generation)
         try:
             return await _read(execution, stream, upstream_name)
         except (StreamUnreachableError, StreamStatusError):
             return None
         except (StreamError, FrameError):
-            await parts.clock.sleep(PAUSE_S)
+            await parts.clock.sleep(RETRY_PAUSE_S)
     return None
 
 
@@ -88,11 +90,11 @@
     async with contextlib.aclosing(stream.events()) as events:
         async for event in events:
             if event.name == "token":
-                execution.take(event.decode(Tokens))
+                execution.append_tokens(event.decode(Tokens))
             elif event.name == "start":
                 start = event.decode(Start)
-                mine = (execution.key, execution.workspace)
-                if (start.key, start.workspace) != mine:
+                expected = (execution.key, execution.workspace)
+                if (start.key, start.workspace) != expected:
                     return execution.fail("foreign_generation", UNKNOWN)
                 execution.answer.begin(start.generation)
                 execution.begin(attrs.evolve(start, upstream=upstream))
--- a/src/balsamlift/requests/_kept.py
+++ b/src/balsamlift/requests/_registry.py
@@ -13,10 +13,10 @@
 
 log = logger.bind(part="requests")
 
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 
 
-class Kept:
+class ExecutionRegistry:
     """Drop old answers and cancel requests that callers have abandoned."""
 
     def __init__(self, parts: Parts) -> None:
@@ -28,7 +28,7 @@
 
     def start(self) -> None:
         """Start the periodic sweep."""
-        self._task = asyncio.ensure_future(self._sweep_often())
+        self._task = asyncio.ensure_future(self._sweep_periodically())
 
     async def stop(self) -> None:
         """Cancel the sweep and every request that is still running."""
@@ -48,15 +48,15 @@
         """Return whether any execution is running or being read."""
         return any(e.outcome is None or e.watchers for e in self._executions)
 
-    def check_room(self) -> None:
+    def check_capacity(self) -> None:
         """Raise `RefusedError` while answers exceed their memory limit."""
         if self._bytes > self._parts.settings.limits.answers_bytes:
             # The next sweep may free memory.
-            raise RefusedError("answers_full", int(SWEEP_S * 1_000))
+            raise RefusedError("answers_full", int(SWEEP_INTERVAL_S * 1_000))
 
-    async def _sweep_often(self) -> None:
+    async def _sweep_periodically(self) -> None:
         while True:
-            await self._parts.clock.sleep(SWEEP_S)
+            await self._parts.clock.sleep(SWEEP_INTERVAL_S)
             try:
                 self._sweep()
             except Exception:
@@ -91,7 +91,7 @@
             return
         if execution.abandoned_s is None:
             execution.abandoned_s = now_s
-        gone_s = now_s - execution.abandoned_s
-        bound_s = self._parts.settings.streams.abandon_ms / 1_000
-        if gone_s >= bound_s and execution.task is not None:
+        abandoned_for_s = now_s - execution.abandoned_s
+        timeout_s = self._parts.settings.streams.abandon_ms / 1_000
+        if abandoned_for_s >= timeout_s and execution.task is not None:
             execution.task.cancel()
--- a/src/balsamlift/requests/_terms.py
+++ b/src/balsamlift/requests/_request_settings.py
@@ -1,4 +1,4 @@
-"""The terms of one request, derived from the preset in force."""
+"""The settings of one request, derived from the preset in force."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Terms:
+class RequestSettings:
     """Hold the settings of a request, fixed from its admission to its end."""
 
     in_force: InForce
@@ -35,8 +35,8 @@
     on_services: bool
 
 
-def find_terms(parts: Parts, body: RequestBody) -> Terms:
-    """Return the terms that the preset in force sets for a request.
+def resolve_settings(parts: Parts, body: RequestBody) -> RequestSettings:
+    """Return the settings of a request from the preset in force.
 
     Raises `KindUnknownError` and `WorkspaceUnknownError`, and `RefusedError`
     while no preset is in force.
@@ -50,11 +50,11 @@
     pool = parts.settings.pools.get(kind.pool)
     if pool is None:
         raise KindUnknownError(f"kind {body.kind!r} has no pool here")
-    wanted = in_force.preset.pools.get(kind.pool)
-    return Terms(
+    pool_preset = in_force.preset.pools.get(kind.pool)
+    return RequestSettings(
         in_force=in_force,
         kind=kind,
-        model=wanted.model if wanted else "",
+        model=pool_preset.model if pool_preset else "",
         weight=_find_workspace(in_force.preset, body.workspace).weight,
         # A caller may declare an idempotent kind non-idempotent, but not
         # the reverse.
@@ -80,31 +80,33 @@
         raise TokenWrongError("the token is not this workspace's")
 
 
-def to_ask(body: RequestBody, terms: Terms) -> PlacementRequest:
+def to_placement_request(
+    body: RequestBody, request_settings: RequestSettings
+) -> PlacementRequest:
     """Return the request to placement."""
-    kind = terms.kind
-    guess = max(1, len(body.prompt) // CHARACTERS_PER_TOKEN)
-    ask = PlacementRequest(
+    kind = request_settings.kind
+    estimated_tokens = max(1, len(body.prompt) // CHARACTERS_PER_TOKEN)
+    placement_request = PlacementRequest(
         key=body.key,
         workspace=body.workspace,
         kind=body.kind,
         pool=kind.pool,
-        weight=terms.weight,
+        weight=request_settings.weight,
         priority=kind.priority,
-        prompt_tokens=body.prompt_tokens or guess,
+        prompt_tokens=body.prompt_tokens or estimated_tokens,
         prefix=body.prefix,
-        max_tokens=_at_most(body.max_tokens, kind.max_tokens),
+        max_tokens=_capped(body.max_tokens, kind.max_tokens),
         quantile=kind.quantile,
-        deadline_ms=_at_most(body.deadline_ms, kind.deadline_ms),
+        deadline_ms=_capped(body.deadline_ms, kind.deadline_ms),
     )
-    if terms.on_services:
+    if request_settings.on_services:
         # A service call uses no engine memory; it counts as one token.
-        return attrs.evolve(ask, prompt_tokens=0, max_tokens=1)
-    return ask
+        return attrs.evolve(placement_request, prompt_tokens=0, max_tokens=1)
+    return placement_request
 
 
-def _at_most(wanted: int | None, bound: int) -> int:
-    return min(wanted or bound, bound)
+def _capped(requested: int | None, limit: int) -> int:
+    return min(requested or limit, limit)
 
 
 def _find_workspace(preset: Preset, name: str) -> WorkspacePreset:
--- a/src/balsamlift/requests/_runner.py
+++ b/src/balsamlift/requests/_runner.py
@@ -7,15 +7,19 @@
 from loguru import logger
 
 from balsamlift.exceptions import RefusedError
+from balsamlift.requests._dispatch import Dispatch
 from balsamlift.requests._engine import run_on_engines
 from balsamlift.requests._execution import Execution
-from balsamlift.requests._kept import Kept
 from balsamlift.requests._keys import Home
 from balsamlift.requests._messages import RequestBody
 from balsamlift.requests._parts import Parts
+from balsamlift.requests._registry import ExecutionRegistry
+from balsamlift.requests._request_settings import (
+    RequestSettings,
+    resolve_settings,
+    to_placement_request,
+)
 from balsamlift.requests._service_call import run_on_services
-from balsamlift.requests._terms import Terms, find_terms, to_ask
-from balsamlift.requests._work import Work
 from balsamlift.streams import REFUSED, UNKNOWN, WHOLE, Accepted, Outcome
 
 log = logger.bind(part="requests")
@@ -28,37 +32,45 @@
         """Start without any running requests."""
         self._parts = parts
         self._home = home
-        self.kept = Kept(parts)
+        self.registry = ExecutionRegistry(parts)
 
-    def find_terms(self, body: RequestBody) -> Terms:
-        """Return the terms of a new request.
+    def resolve_settings(self, body: RequestBody) -> RequestSettings:
+        """Return the settings of a new request.
 
         Raises `RequestError` for errors in the request itself and
         `RefusedError` if there is no memory for answers or no preset.
         """
-        terms = find_terms(self._parts, body)
-        self.kept.check_room()
-        return terms
+        request_settings = resolve_settings(self._parts, body)
+        self.registry.check_capacity()
+        return request_settings
 
     def begin(
-        self, execution: Execution, body: RequestBody, terms: Terms
+        self,
+        execution: Execution,
+        body: RequestBody,
+        request_settings: RequestSettings,
     ) -> None:
         """Run a request in a new task."""
-        self.kept.add(execution)
-        execution.may_be_abandoned = terms.idempotent
-        run = self.run(execution, body, terms)
+        self.registry.add(execution)
+        execution.may_be_abandoned = request_settings.idempotent
+        run = self.run(execution, body, request_settings)
         execution.task = asyncio.ensure_future(run)
 
     async def run(
-        self, execution: Execution, body: RequestBody, terms: Terms
+        self,
+        execution: Execution,
+        body: RequestBody,
+        request_settings: RequestSettings,
     ) -> None:
         """Run a request to its outcome."""
         try:
-            outcome = await self._admit_and_run(execution, body, terms)
+            outcome = await self._admit_and_run(
+                execution, body, request_settings
+            )
         except RefusedError as error:
-            outcome = refusal(error)
+            outcome = refused_outcome(error)
         except asyncio.CancelledError:
-            self.finish(execution, _cancelled(execution))
+            self.finish(execution, _cancelled_outcome(execution))
             raise
         except Exception as error:
             log.exception("A request failed with an internal error.")
@@ -68,7 +80,7 @@
 
     def finish(self, execution: Execution, outcome: Outcome) -> None:
         """Record the outcome in the execution, metrics and timeline."""
-        self.kept.add(execution)
+        self.registry.add(execution)
         execution.finish(outcome, self._parts.clock.monotonic())
         self._parts.metrics.count(f"requests.{outcome.outcome}")
         self._parts.timeline.record(
@@ -80,45 +92,53 @@
         )
 
     async def _admit_and_run(
-        self, execution: Execution, body: RequestBody, terms: Terms
+        self,
+        execution: Execution,
+        body: RequestBody,
+        request_settings: RequestSettings,
     ) -> Outcome:
         parts = self._parts
-        ask = to_ask(body, terms)
-        ticket = await parts.placement.admit(ask)
-        work = Work(
+        placement_request = to_placement_request(body, request_settings)
+        ticket = await parts.placement.admit(placement_request)
+        dispatch = Dispatch(
             parts=parts,
             execution=execution,
             body=body,
             ticket=ticket,
-            model=terms.model,
-            idempotent=terms.idempotent,
-            max_tokens=ask.max_tokens,
-            priority=ask.priority,
-            deadline_s=parts.clock.monotonic() + ask.deadline_ms / 1_000,
+            model=request_settings.model,
+            idempotent=request_settings.idempotent,
+            max_tokens=placement_request.max_tokens,
+            priority=placement_request.priority,
+            deadline_s=parts.clock.monotonic()
+            + placement_request.deadline_ms / 1_000,
         )
-        self._accept(work, terms)
-        run = run_on_services if terms.on_services else run_on_engines
-        outcome = await run(work)
+        self._accept(dispatch, request_settings)
+        run = (
+            run_on_services if request_settings.on_services else run_on_engines
+        )
+        outcome = await run(dispatch)
         if outcome.outcome == WHOLE:
             parts.placement.finish(ticket, outcome.tokens)
         return outcome
 
-    def _accept(self, work: Work, terms: Terms) -> None:
-        generation = terms.in_force.generation
+    def _accept(
+        self, dispatch: Dispatch, request_settings: RequestSettings
+    ) -> None:
+        generation = request_settings.in_force.generation
         accepted = Accepted(
-            key=work.execution.key,
+            key=dispatch.execution.key,
             home=self._home.host,
             preset_generation=generation,
         )
-        work.execution.accept(accepted)
-        work.record(
+        dispatch.execution.accept(accepted)
+        dispatch.record(
             "accepted",
-            workspace=work.body.workspace,
+            workspace=dispatch.body.workspace,
             preset_generation=generation,
         )
 
 
-def refusal(error: RefusedError) -> Outcome:
+def refused_outcome(error: RefusedError) -> Outcome:
     """Return the outcome of a request that was refused and did not run."""
     return Outcome(
         outcome=REFUSED,
@@ -127,7 +147,7 @@
     )
 
 
-def _cancelled(execution: Execution) -> Outcome:
+def _cancelled_outcome(execution: Execution) -> Outcome:
     if not execution.dispatched:
         return Outcome(outcome=REFUSED, reason="cancelled")
     if execution.start is None:
--- a/src/balsamlift/requests/_service.py
+++ b/src/balsamlift/requests/_service.py
@@ -11,18 +11,18 @@
 from balsamlift.requests._claimed import ClaimedRequests
 from balsamlift.requests._errors import KeyMissingError, KeyReusedError
 from balsamlift.requests._execution import Execution
+from balsamlift.requests._forwarder import RequestForwarder
 from balsamlift.requests._handover import Handover, HandoverHandler
 from balsamlift.requests._keys import Home, HomedKey, UnhomedKey, parse_key
 from balsamlift.requests._messages import RequestBody
 from balsamlift.requests._parts import Parts
-from balsamlift.requests._remote import Remote
-from balsamlift.requests._runner import Runner, refusal
+from balsamlift.requests._request_settings import authorize
+from balsamlift.requests._runner import Runner, refused_outcome
 from balsamlift.requests._table import KeyRetiredError, KeyTable
-from balsamlift.requests._terms import authorize
 from balsamlift.streams import UNKNOWN, Outcome
 
-UPKEEP_S = 1.0
-IDLE_PAUSE_S = 0.05
+MAINTENANCE_INTERVAL_S = 1.0
+IDLE_POLL_S = 0.05
 
 
 class Requests:
@@ -39,27 +39,29 @@
             home, parts.clock, limits.key_lifetime_ms, limits.keys
         )
         self.handover = Handover(parts, home)
-        self.remote = Remote(parts)
+        self.forwarder = RequestForwarder(parts)
         self.taking = True
         self._runner = Runner(parts, home)
-        self._claimed = ClaimedRequests(parts, home, self._runner, self.remote)
-        self._upkeep: asyncio.Task[None] | None = None
+        self._claimed = ClaimedRequests(
+            parts, home, self._runner, self.forwarder
+        )
+        self._maintenance: asyncio.Task[None] | None = None
 
     async def start(self, kernel: Kernel) -> None:
         """Start periodic maintenance; accept key tables of leaving hosts."""
         operators = kernel.find("operators", OperatorsServer)
         arguments = {"handover": self.handover}
         operators.add_routes([(r"/v1/peer/keys", HandoverHandler, arguments)])
-        self._runner.kept.start()
-        self._upkeep = asyncio.ensure_future(self._keep_up())
+        self._runner.registry.start()
+        self._maintenance = asyncio.ensure_future(self._maintain())
 
     async def stop(self) -> None:
         """Cancel maintenance and all running requests."""
-        if self._upkeep is not None:
-            self._upkeep.cancel()
+        if self._maintenance is not None:
+            self._maintenance.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self._upkeep
-        await self._runner.kept.stop()
+                await self._maintenance
+        await self._runner.registry.stop()
 
     def authorize(self, workspace: str, token: str) -> None:
         """Check that the token belongs to the workspace.
@@ -78,11 +80,11 @@
         if isinstance(key, UnhomedKey):
             return self._submit_unhomed(key, body)
         if key.home == self.home:
-            return self._submit_here(key, body)
+            return self._submit_homed(key, body)
         taken_over = self.handover.find(key, body.workspace)
         if taken_over is not None:
             return taken_over
-        return self.remote.submit(key.home, body, hops)
+        return self.forwarder.submit(key.home, body, hops)
 
     def follow(
         self,
@@ -99,13 +101,13 @@
         """
         key = parse_key(key_text)
         if isinstance(key, UnhomedKey):
-            return _owned(self._claimed.find(key_text), workspace)
+            return _require_owned(self._claimed.find(key_text), workspace)
         if key.home == self.home:
-            return _owned(self.table.find(key), workspace)
+            return _require_owned(self.table.find(key), workspace)
         taken_over = self.handover.find(key, workspace)
         if taken_over is not None:
             return taken_over
-        return self.remote.follow(
+        return self.forwarder.follow(
             key.home, key_text, workspace, first_index, engine, hops
         )
 
@@ -116,7 +118,7 @@
         """
         key = parse_key(key_text)
         if isinstance(key, HomedKey) and key.home != self.home:
-            return await self.remote.cancel(key.home, key_text, workspace)
+            return await self.forwarder.cancel(key.home, key_text, workspace)
         execution = self._find_own(key, workspace)
         if execution.task is not None and execution.outcome is None:
             execution.task.cancel()
@@ -124,15 +126,15 @@
         outcome = execution.outcome
         return outcome is not None and outcome.reason == "cancelled"
 
-    async def wait_idle(self, bound_s: float) -> bool:
+    async def wait_idle(self, timeout_s: float) -> bool:
         """Wait until no request is running or being read.
 
-        Returns whether that happened within `bound_s`.
+        Returns whether that happened within `timeout_s`.
         """
         try:
-            async with asyncio.timeout(bound_s):
+            async with asyncio.timeout(timeout_s):
                 while self._is_busy():
-                    await self.parts.clock.sleep(IDLE_PAUSE_S)
+                    await self.parts.clock.sleep(IDLE_POLL_S)
         except TimeoutError:
             return False
         return True
@@ -145,19 +147,19 @@
         )
 
     def _is_busy(self) -> bool:
-        return self._runner.kept.is_busy() or self.remote.is_busy()
+        return self._runner.registry.is_busy() or self.forwarder.is_busy()
 
     def _find_own(
         self, key: HomedKey | UnhomedKey, workspace: str
     ) -> Execution:
         if isinstance(key, HomedKey):
-            return _owned(self.table.find(key), workspace)
-        return _owned(self._claimed.find(key.text), workspace)
+            return _require_owned(self.table.find(key), workspace)
+        return _require_owned(self._claimed.find(key.text), workspace)
 
-    def _submit_here(self, key: HomedKey, body: RequestBody) -> Execution:
+    def _submit_homed(self, key: HomedKey, body: RequestBody) -> Execution:
         execution = self.table.find(key)
         if execution is not None:
-            return _same(execution, body)
+            return _require_same_request(execution, body)
         execution = Execution(body.key, body.workspace, body)
         try:
             self.table.check_takes(key)
@@ -165,47 +167,49 @@
             outcome = Outcome(outcome=UNKNOWN, reason="key_retired")
             execution.finish(outcome, self.parts.clock.monotonic())
             return execution
-        self._check_taking()
+        self._check_accepting()
         try:
-            terms = self._runner.find_terms(body)
+            request_settings = self._runner.resolve_settings(body)
         except RefusedError as error:
             # Recorded, so that a late duplicate is refused as well.
             self.table.add(key, execution)
-            self._runner.finish(execution, refusal(error))
+            self._runner.finish(execution, refused_outcome(error))
             return execution
         self.table.add(key, execution)
-        self._runner.begin(execution, body, terms)
+        self._runner.begin(execution, body, request_settings)
         return execution
 
     def _submit_unhomed(self, key: UnhomedKey, body: RequestBody) -> Execution:
         execution = self._claimed.find(key.text)
         if execution is not None:
-            return _same(execution, body)
-        self._check_taking()
+            return _require_same_request(execution, body)
+        self._check_accepting()
         return self._claimed.submit(body)
 
-    def _check_taking(self) -> None:
+    def _check_accepting(self) -> None:
         if not self.taking:
             # Need not be recorded: this incarnation accepts no more keys.
             raise RefusedError("leaving", 0)
 
-    async def _keep_up(self) -> None:
+    async def _maintain(self) -> None:
         while True:
             self.parts.peers.set_key_prefix(self.table.prefix)
             self.parts.metrics.gauge("requests.keys", len(self.table))
             self._claimed.forget_old()
             self.handover.forget_old()
-            await self.parts.clock.sleep(UPKEEP_S)
+            await self.parts.clock.sleep(MAINTENANCE_INTERVAL_S)
 
 
-def _owned(execution: Execution | None, workspace: str) -> Execution:
+def _require_owned(execution: Execution | None, workspace: str) -> Execution:
     if execution is None or execution.workspace != workspace:
         raise KeyMissingError("no such request")
     return execution
 
 
-def _same(execution: Execution, body: RequestBody) -> Execution:
-    _owned(execution, body.workspace)
+def _require_same_request(
+    execution: Execution, body: RequestBody
+) -> Execution:
+    _require_owned(execution, body.workspace)
     if execution.body_digest != body.digest():
         raise KeyReusedError("this key belongs to another request")
     return execution
--- a/src/balsamlift/requests/_service_call.py
+++ b/src/balsamlift/requests/_service_call.py
@@ -10,19 +10,19 @@
 
 from balsamlift._http import Answer, CallError
 from balsamlift.peers import Upstream
-from balsamlift.requests._answers import (
+from balsamlift.requests._dispatch import (
+    Dispatch,
+    ExecutionLostError,
+    NotRunError,
+    choose_upstream,
+    record_dispatch,
+    record_not_run,
+)
+from balsamlift.requests._upstream_responses import (
     DONE,
     RUNNING,
-    ask_key,
-    read_refusal,
-)
-from balsamlift.requests._work import (
-    LostError,
-    NotRunError,
-    Work,
-    next_upstream,
-    note_dispatch,
-    note_not_run,
+    decode_refusal,
+    fetch_key_state,
 )
 from balsamlift.streams import UNKNOWN, WHOLE, Outcome
 
@@ -36,89 +36,92 @@
     result: Any = None
 
 
-async def run_on_services(work: Work) -> Outcome:
+async def run_on_services(dispatch: Dispatch) -> Outcome:
     """Try plain services until one yields an outcome, then return it."""
     while True:
-        upstream = await next_upstream(work)
+        upstream = await choose_upstream(dispatch)
         if isinstance(upstream, Outcome):
-            if work.execution.dispatched:
-                return work.execution.fail("no_service_left")
+            if dispatch.execution.dispatched:
+                return dispatch.execution.fail("no_service_left")
             return upstream
-        note_dispatch(work, upstream)
+        record_dispatch(dispatch, upstream)
         try:
-            return await _run_on(work, upstream)
+            return await _run_on(dispatch, upstream)
         except NotRunError as error:
-            note_not_run(work, upstream, error)
-        except LostError as error:
-            work.note_lost(upstream)
-            work.record(
+            record_not_run(dispatch, upstream, error)
+        except ExecutionLostError as error:
+            dispatch.mark_lost(upstream)
+            dispatch.record(
                 "service_lost", upstream=upstream.name, reason=error.reason
             )
-            if not work.idempotent:
-                return work.execution.fail(error.reason, UNKNOWN)
+            if not dispatch.idempotent:
+                return dispatch.execution.fail(error.reason, UNKNOWN)
         finally:
-            work.parts.placement.release(work.ticket, upstream)
+            dispatch.parts.placement.release(dispatch.ticket, upstream)
 
 
-async def _run_on(work: Work, upstream: Upstream) -> Outcome:
-    work.parts.placement.mark_started(work.ticket, upstream)
-    body = work.body
-    call = {
+async def _run_on(dispatch: Dispatch, upstream: Upstream) -> Outcome:
+    dispatch.parts.placement.mark_started(dispatch.ticket, upstream)
+    body = dispatch.body
+    call_body = {
         "key": body.key,
         "workspace": body.workspace,
         "kind": body.kind,
         "payload": body.payload,
-        "idempotent": work.idempotent,
+        "idempotent": dispatch.idempotent,
     }
     try:
-        answer = await work.parts.http.call(
+        answer = await dispatch.parts.http.call(
             "POST",
             f"http://{upstream.address}/v1/calls",
-            call,
-            timeout_ms=_silence_ms(work),
-            connect_ms=work.parts.settings.streams.connect_ms,
+            call_body,
+            timeout_ms=_timeout_ms(dispatch),
+            connect_ms=dispatch.parts.settings.streams.connect_ms,
             fresh=True,
         )
     except CallError as error:
         if not error.sent:
             raise NotRunError("unreachable") from error
-        return await _ask_by_key(work, upstream)
-    return _outcome(work, answer)
+        return await _poll_by_key(dispatch, upstream)
+    return _outcome(dispatch, answer)
 
 
-def _silence_ms(work: Work) -> int:
-    silence_ms = work.parts.settings.streams.upstream_silence_ms
-    return max(1, min(silence_ms, int(work.left_s() * 1_000)))
+def _timeout_ms(dispatch: Dispatch) -> int:
+    silence_ms = dispatch.parts.settings.streams.upstream_silence_ms
+    return max(1, min(silence_ms, int(dispatch.remaining_s() * 1_000)))
 
 
-def _outcome(work: Work, answer: Answer) -> Outcome:
+def _outcome(dispatch: Dispatch, answer: Answer) -> Outcome:
     if answer.status == OK:
-        return whole_result(answer.decode(_CallAnswer).result)
-    refusal = read_refusal(answer.body)
+        return result_outcome(answer.decode(_CallAnswer).result)
+    refusal = decode_refusal(answer.body)
     if not refusal.ran:
         raise NotRunError(refusal.reason, refusal.retry_after_ms)
     reason = f"service_status_{answer.status}"
     if answer.status < SERVER_ERROR:
-        return work.execution.fail(reason)
-    raise LostError(reason, ended=False)
+        return dispatch.execution.fail(reason)
+    raise ExecutionLostError(reason, ended=False)
 
 
-def whole_result(result: Any) -> Outcome:
+def result_outcome(result: Any) -> Outcome:
     """Return the outcome that carries a service's result."""
     encoded = msgspec.json.encode(result)
     digest = hashlib.sha256(encoded).hexdigest()
     return Outcome(outcome=WHOLE, digest=digest, result=result)
 
 
-async def _ask_by_key(work: Work, upstream: Upstream) -> Outcome:
+async def _poll_by_key(dispatch: Dispatch, upstream: Upstream) -> Outcome:
     """Poll the upstream by key for a call whose response was lost."""
-    while work.left_s() > 0:
-        told = await ask_key(
-            work.parts, upstream, work.execution.key, _silence_ms(work)
+    while dispatch.remaining_s() > 0:
+        key_state = await fetch_key_state(
+            dispatch.parts,
+            upstream,
+            dispatch.execution.key,
+            _timeout_ms(dispatch),
         )
-        if told is not None and told.state == DONE:
-            return whole_result(told.result)
-        if told is None or told.state != RUNNING:
+        if key_state is not None and key_state.state == DONE:
+            return result_outcome(key_state.result)
+        if key_state is None or key_state.state != RUNNING:
             break
-        await work.parts.clock.sleep(POLL_PAUSE_S)
-    raise LostError("service_silent", ended=False)
+        await dispatch.parts.clock.sleep(POLL_PAUSE_S)
+    raise ExecutionLostError("service_silent", ended=False)
--- a/src/balsamlift/requests/_slots.py
+++ b/src/balsamlift/requests/_slots.py
@@ -17,7 +17,7 @@
         self._open = 0
 
     @contextlib.contextmanager
-    def taken(self) -> Iterator[None]:
+    def acquire(self) -> Iterator[None]:
         """Hold one slot; raise `StreamsFullError` if none is free."""
         if self._open >= self._limit:
             raise StreamsFullError(f"{self._open} streams are open")
--- a/src/balsamlift/requests/_table.py
+++ b/src/balsamlift/requests/_table.py
@@ -44,7 +44,7 @@
         self._capacity = capacity
         self._epoch = 0
         self._closed_below = 0
-        self._turned_s = clock.monotonic()
+        self._epoch_started_s = clock.monotonic()
         self._by_epoch: dict[int, dict[str, Execution]] = {}
         self._size = 0
 
@@ -55,13 +55,13 @@
     @property
     def prefix(self) -> str:
         """Return the prefix for new keys."""
-        self._turn()
+        self._advance_epoch()
         return key_prefix(self.home, self._epoch)
 
     @property
     def oldest_epoch(self) -> int:
         """Return the oldest epoch whose keys are all remembered."""
-        self._turn()
+        self._advance_epoch()
         return max(0, self._epoch - OPEN_EPOCHS)
 
     def find(self, key: HomedKey) -> Execution | None:
@@ -74,7 +74,7 @@
         Raises `KeyRetiredError` if it may have run, `RefusedError` if it
         did not and never will, and `BadKeyError` if its epoch has not begun.
         """
-        self._turn()
+        self._advance_epoch()
         if key.epoch > self._epoch:
             raise BadKeyError
         if key.epoch < self._epoch - OPEN_EPOCHS:
@@ -85,7 +85,7 @@
             self._closed_below = self._epoch + 1
         lowest_open = max(self._epoch - OPEN_EPOCHS + 1, self._closed_below)
         if key.epoch < lowest_open:
-            raise RefusedError("key_closed", self._next_turn_ms())
+            raise RefusedError("key_closed", self._next_epoch_ms())
 
     def add(self, key: HomedKey, execution: Execution) -> None:
         """Add the execution of an accepted key."""
@@ -98,25 +98,27 @@
         for keys in self._by_epoch.values():
             yield from keys.values()
 
-    def _next_turn_ms(self) -> int:
+    def _next_epoch_ms(self) -> int:
         if self._closed_below <= self._epoch:
             return 0  # a key with the current prefix is accepted now
-        left_s = self._turned_s + self._epoch_s - self._clock.monotonic()
-        return int(left_s * 1_000) + 1
+        remaining_s = (
+            self._epoch_started_s + self._epoch_s - self._clock.monotonic()
+        )
+        return int(remaining_s * 1_000) + 1
 
-    def _turn(self) -> None:
+    def _advance_epoch(self) -> None:
         now_s = self._clock.monotonic()
-        while now_s - self._turned_s >= self._epoch_s:
-            self._turned_s += self._epoch_s
+        while now_s - self._epoch_started_s >= self._epoch_s:
+            self._epoch_started_s += self._epoch_s
             self._begin_epoch()
 
     def _begin_epoch(self) -> None:
         self._epoch += 1
         oldest_kept = self._epoch - OPEN_EPOCHS
         for epoch in [e for e in self._by_epoch if e < oldest_kept]:
-            self._forget(epoch)
+            self._drop_finished(epoch)
 
-    def _forget(self, epoch: int) -> None:
+    def _drop_finished(self, epoch: int) -> None:
         keys = self._by_epoch[epoch]
         for text in [k for k, e in keys.items() if e.outcome is not None]:
             del keys[text]
--- a/src/balsamlift/requests/_answers.py
+++ b/src/balsamlift/requests/_upstream_responses.py
@@ -1,4 +1,4 @@
-"""What upstreams answer about one request, besides its result."""
+"""Upstream responses other than results: refusals and key states."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 @attrs.frozen(kw_only=True)
 class Refusal:
-    """Hold an answer that carries no result; `ran` false is believed."""
+    """Represent an upstream's error response.
+
+    `ran` false is trusted to mean that the request did not run.
+    """
 
     ran: bool = True
     reason: str = "status"
@@ -26,9 +29,10 @@
 
 @attrs.frozen(kw_only=True)
 class KeyState:
-    """Hold what an upstream tells of a key.
+    """Hold the state that an upstream reports for a key.
 
-    "absent" proves nothing: the request may still be on its way.
+    "absent" does not prove that the request will not run: it may still be
+    in transit.
     """
 
     state: str
@@ -37,18 +41,21 @@
     result: Any = None
 
 
-def read_refusal(body: bytes) -> Refusal:
-    """Return the refusal in a body; what is none may have run."""
+def decode_refusal(body: bytes) -> Refusal:
+    """Return the refusal in a body; assume it ran if the body has none."""
     try:
         return msgspec.json.decode(body, type=Refusal)
     except msgspec.DecodeError:
         return Refusal()
 
 
-async def ask_key(
+async def fetch_key_state(
     parts: Parts, upstream: Upstream, key: str, timeout_ms: int
 ) -> KeyState | None:
-    """Return what the upstream tells of a key, None when it tells nothing."""
+    """Return the state of a key at the upstream.
+
+    None if the upstream does not report states or the call fails.
+    """
     if not upstream.tells_by_key:
         return None
     url = f"http://{upstream.address}/v1/keys/{key}"
--- a/src/balsamlift/streams/__init__.py
+++ b/src/balsamlift/streams/__init__.py
@@ -2,9 +2,9 @@
 
 from balsamlift.streams._answer import (
     Answer,
-    OtherGenerationError,
-    OtherTokensError,
+    GenerationMismatchError,
     TokenGapError,
+    TokenMismatchError,
 )
 from balsamlift.streams._frames import (
     FAILED,
@@ -48,8 +48,7 @@
     "EventTooLongError",
     "FrameError",
     "GenerationEnd",
-    "OtherGenerationError",
-    "OtherTokensError",
+    "GenerationMismatchError",
     "Outcome",
     "Start",
     "Stream",
@@ -59,6 +58,7 @@
     "StreamStatusError",
     "StreamUnreachableError",
     "TokenGapError",
+    "TokenMismatchError",
     "Tokens",
     "encode_event",
     "encode_raw_event",
--- a/src/balsamlift/streams/_answer.py
+++ b/src/balsamlift/streams/_answer.py
@@ -18,11 +18,11 @@
     """Raise when tokens are missing before those of a frame."""
 
 
-class OtherGenerationError(FrameError):
+class GenerationMismatchError(FrameError):
     """Raise when a frame belongs to another generation."""
 
 
-class OtherTokensError(FrameError):
+class TokenMismatchError(FrameError):
     """Raise when a repeated generation differs from the delivered tokens."""
 
 
@@ -44,7 +44,7 @@
     def decode(self) -> list[str]:
         return msgspec.json.decode(self.tokens_json, type=list[str])
 
-    def after(self, index: int) -> _Chunk:
+    def from_index(self, index: int) -> _Chunk:
         tokens = self.decode()[index - self.index :]
         encoded = msgspec.json.encode(tokens)
         return _Chunk(self.generation, index, len(tokens), encoded)
@@ -82,10 +82,10 @@
         """Append the new tokens of a frame and return their number.
 
         Skips tokens that are already held, by index. Raises
-        `OtherGenerationError` and `TokenGapError`.
+        `GenerationMismatchError` and `TokenGapError`.
         """
         if frame.generation != self.generation:
-            raise OtherGenerationError(
+            raise GenerationMismatchError(
                 f"expected tokens of {self.generation}, not of"
                 f" {frame.generation}"
             )
@@ -101,12 +101,12 @@
     def verify(self, frame: Tokens) -> None:
         """Compare the tokens of a frame with those held.
 
-        Raises `OtherTokensError` if one differs.
+        Raises `TokenMismatchError` if one differs.
         """
         held = self.tokens_from(frame.index)
-        for mine, theirs in zip(held, frame.tokens, strict=False):
-            if mine != theirs:
-                raise OtherTokensError("the repeated generation differs")
+        for expected, received in zip(held, frame.tokens, strict=False):
+            if expected != received:
+                raise TokenMismatchError("the repeated generation differs")
 
     def tokens_from(self, index: int) -> Iterator[str]:
         """Yield the tokens from `index` on."""
@@ -135,11 +135,11 @@
         self._digest.update(joined.encode())
 
     def _chunks_from(self, index: int) -> Iterator[_Chunk]:
-        place = bisect_right(self._chunks, index, key=_index_of) - 1
-        for chunk in self._chunks[max(place, 0) :]:
+        position = bisect_right(self._chunks, index, key=_index_of) - 1
+        for chunk in self._chunks[max(position, 0) :]:
             if chunk.index + chunk.count <= index:
                 continue
-            yield chunk.after(index) if chunk.index < index else chunk
+            yield chunk.from_index(index) if chunk.index < index else chunk
 
 
 def _join(chunks: list[_Chunk]) -> _Chunk:
--- a/src/balsamlift/streams/_stream.py
+++ b/src/balsamlift/streams/_stream.py
@@ -112,9 +112,9 @@
         self._parser = EventParser()
         self._events: deque[Event] = deque()
         self._body = bytearray()
-        self._broken: FrameError | None = None
+        self._parse_error: FrameError | None = None
         self._curl: Any = None
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
         self._is_silent = False
         self._socket: socket.socket | None = None
         self._response: HTTPResponse | None = None
@@ -136,15 +136,15 @@
             while True:
                 while self._events:
                     yield self._events.popleft()
-                if self._broken is not None:
-                    raise self._broken
+                if self._parse_error is not None:
+                    raise self._parse_error
                 if self._fetch.done():
                     self._check_end()
                     return
                 # The timer restarts here, so that the time a slow reader
                 # takes does not count as silence.
                 timer.note()
-                await self._wait_for_news()
+                await self._wait_for_change()
         finally:
             timer.stop()
             self.close()
@@ -159,16 +159,16 @@
             # The connection was never made or is already closed.
             return
 
-    async def _wait_for_news(self) -> None:
-        self._news.clear()
+    async def _wait_for_change(self) -> None:
+        self._changed.clear()
         self._is_silent = False
-        await self._news.wait()
+        await self._changed.wait()
         if self._is_silent:
             raise StreamSilentError("no data within the silence timeout")
 
     def _on_silence(self) -> None:
         self._is_silent = True
-        self._news.set()
+        self._changed.set()
 
     def _check_end(self) -> None:
         if self._fetch.cancelled():
@@ -197,22 +197,22 @@
         return self._socket
 
     def _on_data(self, data: bytes) -> None:
-        if self._broken is not None:
+        if self._parse_error is not None:
             return
         # The status is read from curl: when a short response arrives at
         # once, tornado may call the header callback after the data callback.
         if self._curl.getinfo(pycurl.RESPONSE_CODE) != OK:
             self._body += data[: MAX_ERROR_BYTES - len(self._body)]
         else:
-            self._take(data)
+            self._parse(data)
         self._is_silent = False
-        self._news.set()
+        self._changed.set()
 
-    def _take(self, data: bytes) -> None:
+    def _parse(self, data: bytes) -> None:
         try:
             self._events.extend(self._parser.feed(data))
         except FrameError as error:
-            self._broken = error
+            self._parse_error = error
 
     def _on_end(self, fetch: asyncio.Future[HTTPResponse]) -> None:
         if not fetch.cancelled():
@@ -221,4 +221,4 @@
             fetch.exception()
         self._socket = None
         self._curl = None
-        self._news.set()
+        self._changed.set()
--- a/tests/test_requests_claimed.py
+++ b/tests/test_requests_claimed.py
@@ -1,4 +1,4 @@
-"""A host that cannot claim a key says no more than it knows."""
+"""A failed claim is reported as refused only if the key cannot have run."""
 
 import asyncio
 from types import SimpleNamespace
@@ -11,8 +11,8 @@
 from balsamlift.requests._claimed import ClaimedRequests
 
 
-class NoClaims:
-    """Presets that raise instead of claiming."""
+class FailingClaims:
+    """Presets whose claims fail with a given error."""
 
     def __init__(self, error):
         self.error = error
@@ -22,12 +22,12 @@
 
 
 class StubRunner:
-    """Find terms and note outcomes; run nothing."""
+    """Resolve no settings, record outcomes and run nothing."""
 
     def __init__(self):
-        self.kept = set()
+        self.registry = set()
 
-    def find_terms(self, body):
+    def resolve_settings(self, body):
         return None
 
     def finish(self, execution, outcome):
@@ -35,7 +35,7 @@
 
 
 async def outcome_of(error, **fields):
-    parts = SimpleNamespace(presets=NoClaims(error), clock=SystemClock())
+    parts = SimpleNamespace(presets=FailingClaims(error), clock=SystemClock())
     claimed = ClaimedRequests(parts, Home("h", "1"), StubRunner(), None)
     key = new_unhomed_key(SystemClock().now())
     body = RequestBody(key=key, workspace="w", kind="refund", **fields)
@@ -45,25 +45,25 @@
 
 
 @pytest.mark.parametrize(
-    ("error", "fields", "told"),
+    ("error", "fields", "expected"),
     [
-        # Another host may have taken an earlier attempt at the key.
+        # Another host may have run the request after an earlier attempt.
         (RefusedError("log_down", 800), {}, "unknown"),
         (RefusedError("log_down", 800), {"first_attempt": True}, "refused"),
         (KeyTooOldError("k"), {"first_attempt": True}, "unknown"),
     ],
 )
-def test_only_a_first_attempt_is_refused(error, fields, told):
+def test_only_a_first_attempt_is_reported_as_refused(error, fields, expected):
     outcome = asyncio.run(outcome_of(error, **fields))
-    assert outcome.outcome == told
+    assert outcome.outcome == expected
     if isinstance(error, RefusedError):
         assert outcome.retry_after_ms == 800
 
 
-def test_attempts_at_one_request_are_the_same_request():
+def test_the_digest_ignores_first_attempt():
     key = new_unhomed_key(SystemClock().now())
-    first, again = (
+    first, retry = (
         RequestBody(key=key, workspace="w", kind="k", first_attempt=flag)
         for flag in (True, False)
     )
-    assert first.digest() == again.digest()
+    assert first.digest() == retry.digest()
--- a/tests/test_requests_table.py
+++ b/tests/test_requests_table.py
@@ -1,4 +1,4 @@
-"""The key table never lets a key run twice, and never says so falsely."""
+"""The key table runs each key at most once and never refuses one that ran."""
 
 from datetime import UTC, datetime
 
@@ -13,11 +13,11 @@
 from balsamlift.streams import WHOLE, Outcome
 
 HOME = Home("host-1", "ab12")
-CAPACITY = 2  # small, so that room often runs out
+CAPACITY = 2  # small, so that the table is often full
 
 
-class HandClock:
-    """A clock moved by hand."""
+class ManualClock:
+    """A clock that the test advances."""
 
     def __init__(self):
         self.now_s = 0.0
@@ -33,17 +33,17 @@
 
 
 class TableMachine(RuleBasedStateMachine):
-    """Send keys, again and late, while time passes and room runs out."""
+    """Submit new and duplicate keys while time passes and the table fills."""
 
     def __init__(self):
         super().__init__()
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.table = KeyTable(HOME, self.clock, 1_000, CAPACITY)
         self.runs = {}
         self.refused = set()
-        self.drawn = []
+        self.issued = []
 
-    def send(self, text):
+    def submit(self, text):
         key = parse_key(text)
         if self.table.find(key) is not None:
             return
@@ -52,7 +52,7 @@
         except KeyRetiredError:
             return
         except RefusedError:
-            assert text not in self.runs, "said not to have run, but it had"
+            assert text not in self.runs, "refused a key that had run"
             self.refused.add(text)
             return
         self.table.add(key, Execution(text, "w"))
@@ -60,20 +60,20 @@
 
     @rule()
     def new_key(self):
-        text = f"{self.table.prefix}.{len(self.drawn):032x}"
-        self.drawn.append(text)
-        self.send(text)
+        text = f"{self.table.prefix}.{len(self.issued):032x}"
+        self.issued.append(text)
+        self.submit(text)
 
-    @rule(place=st.integers(0, 1_000))
-    def late_duplicate(self, place):
-        if self.drawn:
-            self.send(self.drawn[place % len(self.drawn)])
+    @rule(position=st.integers(0, 1_000))
+    def late_duplicate(self, position):
+        if self.issued:
+            self.submit(self.issued[position % len(self.issued)])
 
-    @rule(place=st.integers(0, 1_000))
-    def finish_one(self, place):
+    @rule(position=st.integers(0, 1_000))
+    def finish_one(self, position):
         held = list(self.table.executions())
         if held:
-            execution = held[place % len(held)]
+            execution = held[position % len(held)]
             execution.finish(Outcome(outcome=WHOLE), self.clock.now_s)
 
     @rule(step_ms=st.sampled_from([100, 500, 2_000]))
@@ -94,19 +94,19 @@
 )
 
 
-def test_a_key_refused_for_want_of_room_never_runs():
-    clock = HandClock()
+def test_a_key_refused_by_a_full_table_is_never_accepted():
+    clock = ManualClock()
     table = KeyTable(HOME, clock, 1_000, 1)
     first = parse_key(f"{table.prefix}.{1:032x}")
     table.check_takes(first)
     execution = Execution(first.text, "w")
     table.add(first, execution)
     execution.finish(Outcome(outcome=WHOLE), clock.now_s)
-    clock.now_s = 1.0  # two epochs on
+    clock.now_s = 1.0  # two epochs later
     second = parse_key(f"{table.prefix}.{2:032x}")
     with pytest.raises(RefusedError):
         table.check_takes(second)
-    clock.now_s = 1.5  # the first key is forgotten: there is room again
+    clock.now_s = 1.5  # the first key is dropped, so the table has space
     fresh = parse_key(f"{table.prefix}.{3:032x}")
     table.check_takes(fresh)
     with pytest.raises(RefusedError):
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize(
     "text", ["", "a", "host~x.0", "h~ab~0." + "0" * 31, "-" + "0" * 32]
 )
-def test_a_bad_key_is_told(text):
+def test_a_malformed_key_raises(text):
     from balsamlift.requests import BadKeyError
 
     with pytest.raises(BadKeyError):
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""The answer keeps tokens once and in order, whatever frames come."""
+"""Answers hold each token once and in order; events parse at any cut."""
 
 import hashlib
 
@@ -11,9 +11,9 @@
 from balsamlift.streams import (
     Answer,
     EventParser,
-    OtherGenerationError,
-    OtherTokensError,
+    GenerationMismatchError,
     TokenGapError,
+    TokenMismatchError,
     Tokens,
     encode_event,
 )
@@ -22,7 +22,7 @@
 
 
 class AnswerMachine(RuleBasedStateMachine):
-    """Feed duplicate, late, overlapping and foreign frames."""
+    """Feed duplicate, out-of-order, overlapping and mismatched frames."""
 
     def __init__(self):
         super().__init__()
@@ -56,7 +56,7 @@
         frame = Tokens(
             generation="other", index=self.answer.next_index, tokens=["x"]
         )
-        with pytest.raises(OtherGenerationError):
+        with pytest.raises(GenerationMismatchError):
             self.answer.append(frame)
 
     @rule(start=st.integers(0, 400))
@@ -70,11 +70,11 @@
         assert got == SOURCE[start : self.answer.next_index]
 
     @invariant()
-    def holds_the_source(self):
+    def holds_the_source_tokens(self):
         end = self.answer.next_index
         assert list(self.answer.tokens_from(0)) == SOURCE[:end]
-        told = "".join(token + "\0" for token in SOURCE[:end])
-        digest = hashlib.sha256(told.encode()).hexdigest()
+        joined = "".join(token + "\0" for token in SOURCE[:end])
+        digest = hashlib.sha256(joined.encode()).hexdigest()
         assert self.answer.digest == digest
 
 
@@ -84,17 +84,17 @@
 )
 
 
-def test_a_repetition_that_differs_is_found():
+def test_a_repeated_generation_that_differs_raises():
     answer = Answer()
     answer.begin("g")
     answer.append(Tokens(generation="g", index=0, tokens=["a", "b", "c"]))
     answer.verify(Tokens(generation="h", index=1, tokens=["b", "c", "d"]))
-    with pytest.raises(OtherTokensError):
+    with pytest.raises(TokenMismatchError):
         answer.verify(Tokens(generation="h", index=1, tokens=["b", "x"]))
 
 
-@pytest.mark.parametrize("cut", [1, 2, 3, 7, 50, 10_000])
-def test_events_are_found_however_the_bytes_are_cut(cut):
+@pytest.mark.parametrize("chunk_size", [1, 2, 3, 7, 50, 10_000])
+def test_events_are_parsed_from_chunks_of_any_size(chunk_size):
     frames = [
         Tokens(generation="g", index=n, tokens=[f"line\n{n}", "ü"])
         for n in range(20)
@@ -102,6 +102,6 @@
     data = b"".join(encode_event("token", f) for f in frames)
     parser = EventParser()
     found = []
-    for place in range(0, len(data), cut):
-        found += list(parser.feed(data[place : place + cut]))
+    for offset in range(0, len(data), chunk_size):
+        found += list(parser.feed(data[offset : offset + chunk_size]))
     assert [e.decode(Tokens) for e in found] == frames
