--- a/tests/_callers_world.py
+++ b/tests/_callers_world.py
@@ -1,4 +1,4 @@
-"""A small deployment, an upstream that sends rubbish, plain calls."""
+"""A small deployment with a scripted engine, and helpers for its calls."""
 
 import asyncio
 import contextlib
@@ -46,9 +46,10 @@
 
 
 class Deployment:
-    """Two hosts: the second forgets answers and slow callers soon.
+    """Start two hosts, a platform, an engine, a service and a scripted engine.
 
-    It has few streams.
+    The second host drops answers and slow callers early and allows few
+    streams.
     """
 
     def __init__(self, stack):
@@ -67,9 +68,12 @@
         self.service = self._start(
             "service", name="service-1", platform_address=self.platform
         )
-        self.odd = stack.enter_context(OddEngine())
+        self.scripted_engine = stack.enter_context(ScriptedEngine())
         self._list(
-            "odd-1", role="upstream", pool="odd", address=self.odd.address
+            "odd-1",
+            role="upstream",
+            pool="odd",
+            address=self.scripted_engine.address,
         )
         self.hosts = [
             self._host("host-1", {"body_bytes": BODY_BYTES}, {}),
@@ -84,7 +88,7 @@
             eventually(lambda host=host: self._is_ready(host))
 
     def key(self, host=0):
-        """Return a new key of that host's."""
+        """Return a new key whose home is the host."""
         return self.prefix(host) + "." + secrets.token_hex(16)
 
     def prefix(self, host=0):
@@ -164,11 +168,11 @@
             return False
         host = self.hosts.index(address)
         kinds = ("report", "lookup", "odd")
-        asked = [
+        requests = [
             self.body(host, kind=kind, prompt="[length=1] whole")
             for kind in kinds
         ]
-        return all(ask(address, b)[-1][1].get("outcome") for b in asked)
+        return all(ask(address, b)[-1][1].get("outcome") for b in requests)
 
     async def _publish(self):
         operator = Operator(self.platform)
@@ -176,16 +180,21 @@
         await operator.switch("ordinary")
 
 
-class OddEngine:
-    """An engine that answers what the prompt's case says."""
+class ScriptedEngine:
+    """An engine whose response is selected by the prompt.
+
+    `cases` maps a prompt to a function that yields the stream's bytes.
+    """
 
     def __init__(self):
         self.cases = {}
         self.posts = []
         self.bodies = {}
-        self._server = ThreadingHTTPServer(("127.0.0.1", 0), _OddHandler)
+        self._server = ThreadingHTTPServer(
+            ("127.0.0.1", 0), _ScriptedEngineHandler
+        )
         self._server.daemon_threads = True
-        self._server.odd = self
+        self._server.scripted_engine = self
         self.address = f"127.0.0.1:{self._server.server_port}"
 
     def __enter__(self):
@@ -199,15 +208,15 @@
         self._server.server_close()
 
 
-class _OddHandler(BaseHTTPRequestHandler):
+class _ScriptedEngineHandler(BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.0"
 
     def do_POST(self):
         body = json.loads(self.rfile.read(int(self.headers["Content-Length"])))
-        odd = self.server.odd
-        odd.posts.append(body["key"])
-        odd.bodies[body["key"]] = body
-        frames = odd.cases.get(body["prompt"], whole_frames)
+        scripted_engine = self.server.scripted_engine
+        scripted_engine.posts.append(body["key"])
+        scripted_engine.bodies[body["key"]] = body
+        frames = scripted_engine.cases.get(body["prompt"], whole_frames)
         self._send_events(frames(body))
 
     def do_GET(self):
@@ -289,14 +298,14 @@
 
 
 def follow(address, key, index=0, workspace="museum", **query):
-    """Return the events of an answer from an index on."""
-    more = "".join(f"&{name}={value}" for name, value in query.items())
-    path = f"/v1/requests/{key}?workspace={workspace}&from={index}{more}"
+    """Return the events of an answer, starting at an index."""
+    arguments = "".join(f"&{name}={value}" for name, value in query.items())
+    path = f"/v1/requests/{key}?workspace={workspace}&from={index}{arguments}"
     return ask(address, None, "GET", path)
 
 
 def tokens_in(events, first_index=0):
-    """Return the tokens, each index checked to be the next one."""
+    """Return the tokens after checking that their indexes are consecutive."""
     tokens = []
     for name, data in events:
         if name == "token":
--- a/tests/_stand_in_calls.py
+++ b/tests/_stand_in_calls.py
@@ -1,4 +1,4 @@
-"""Plain blocking calls to stand-ins, for their own tests."""
+"""Blocking HTTP calls to stand-ins, and helpers for tests."""
 
 import http.client
 import json
@@ -30,7 +30,7 @@
         self.answer = self.connection.getresponse()
 
     def next(self):
-        """Return the next (event, data), none at the end."""
+        """Return the next (event, data), or None at the end."""
         event = self.answer.readline().decode().strip()
         if not event:
             return None
@@ -39,12 +39,12 @@
         return event.removeprefix("event: "), json.loads(data[6:])
 
     def rest(self):
-        """Return all events left."""
+        """Return all remaining events."""
         return list(iter(self.next, None))
 
 
 def tokens_of(events):
-    """Return the tokens in order, each index checked and taken once."""
+    """Return the tokens in order; check for gaps and skip duplicates."""
     tokens = []
     for event, data in events:
         if event == "token":
@@ -55,11 +55,11 @@
 
 
 def eventually(check):
-    """Return the first true value of `check`, within the bound."""
+    """Return the first true value of `check`; fail after `BOUND_S`."""
     deadline = time.monotonic() + BOUND_S
     while time.monotonic() < deadline:
         found = check()
         if found:
             return found
         time.sleep(0.02)
-    raise AssertionError("it never came true")
+    raise AssertionError("the condition was not met in time")
--- a/tests/test_callers_fuzz.py
+++ b/tests/test_callers_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever callers send, a host answers in a typed way and stays well."""
+"""Fuzz the callers' address: responses are typed and nothing crashes."""
 
 import http.client
 import json
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
 
-BOUND_S = 20  # a good request takes far less
+TIMEOUT_S = 20  # far more than a valid request takes
 OUTCOMES = {"whole", "refused", "failed", "unknown"}
 FUZZ = settings(
     max_examples=60,
@@ -19,11 +19,12 @@
 
 
 @pytest.fixture(scope="module")
-def world():
+def deployment():
     with ExitStack() as stack:
         deployment = Deployment(stack)
         yield deployment
-        # At the end of all: the host is well, and has had no error of ours.
+        # After all tests: the host still serves requests and has logged no
+        # internal error.
         body = deployment.body(prompt="[length=40]")
         assert ask(deployment.hosts[0], body)[-1][1]["outcome"] == "whole"
         for process in deployment.processes:
@@ -31,8 +32,8 @@
 
 
 @pytest.fixture(scope="module")
-def prefix(world):
-    return world.prefix()
+def prefix(deployment):
+    return deployment.prefix()
 
 
 values = st.recursive(
@@ -47,13 +48,13 @@
     ),
     max_leaves=8,
 )
-randoms = st.text("0123456789abcdef", min_size=32, max_size=32)
-good = {
+random_parts = st.text("0123456789abcdef", min_size=32, max_size=32)
+valid_fields = {
     "workspace": st.sampled_from(["museum", "rival", "nobody"]),
     "kind": st.sampled_from(["report", "lookup", "poem"]),
     "prompt": st.just("[length=2]"),
 }
-optional = {
+optional_fields = {
     "prompt_tokens": st.integers(1, 50),
     "prefix": st.text(max_size=5),
     "max_tokens": st.integers(1, 50),
@@ -63,12 +64,12 @@
     "delivery": st.sampled_from(["stream", "whole", "parts"]),
     "payload": values,
 }
-FIELDS = [*good, *optional, "key"]
+FIELDS = [*valid_fields, *optional_fields, "key"]
 
 
-def exchange(address, method, path, body=None):
-    """Return the status and the bytes of one answer."""
-    connection = http.client.HTTPConnection(address, timeout=BOUND_S)
+def send_request(address, method, path, body=None):
+    """Return the status, the content type and the body of one response."""
+    connection = http.client.HTTPConnection(address, timeout=TIMEOUT_S)
     connection.request(method, path, body)
     answer = connection.getresponse()
     found = answer.status, answer.getheader("Content-Type"), answer.read()
@@ -77,7 +78,7 @@
 
 
 def check_answer(status, kind, text):
-    """Accept a stream with its end, an outcome, or a typed error."""
+    """Check for a stream with its end, an outcome or a typed error."""
     if kind == "text/event-stream":
         assert status == 200
         name, data = events_in(text)[-1]
@@ -85,42 +86,48 @@
         assert data["outcome"] in OUTCOMES
         return
     assert kind == "application/json"
-    told = json.loads(text)
+    response = json.loads(text)
     if status >= 500:
         expected = {503: "refused", 504: "unknown"}[status]
-        assert told["outcome"] == expected
+        assert response["outcome"] == expected
     elif status >= 400:
-        assert set(told) == {"error", "message"}
+        assert set(response) == {"error", "message"}
     else:
-        assert told == {"cancelled": True}
+        assert response == {"cancelled": True}
 
 
 @FUZZ
 @given(body=st.binary(max_size=200) | values.map(json.dumps))
-def test_any_bytes_as_a_body(world, body):
+def test_arbitrary_bytes_as_a_body(deployment, body):
     sent = body.encode() if isinstance(body, str) else body
-    answer = exchange(world.hosts[0], "POST", "/v1/requests", sent)
+    answer = send_request(deployment.hosts[0], "POST", "/v1/requests", sent)
     assert answer[0] == 400
     check_answer(*answer)
 
 
 @FUZZ
 @given(
-    fields=st.fixed_dictionaries(good, optional=optional),
-    random=randoms,
-    wrong=st.dictionaries(st.sampled_from(FIELDS), values, max_size=1),
+    fields=st.fixed_dictionaries(valid_fields, optional=optional_fields),
+    random_part=random_parts,
+    invalid_field=st.dictionaries(st.sampled_from(FIELDS), values, max_size=1),
 )
-@example(fields={"workspace": "museum"}, random="0" * 32, wrong={})
-def test_requests_with_a_field_wrong(world, prefix, fields, random, wrong):
-    body = {"key": f"{prefix}.{random}", **fields, **wrong}
+@example(
+    fields={"workspace": "museum"}, random_part="0" * 32, invalid_field={}
+)
+def test_requests_with_an_invalid_field(
+    deployment, prefix, fields, random_part, invalid_field
+):
+    body = {"key": f"{prefix}.{random_part}", **fields, **invalid_field}
     sent = json.dumps(body).encode()
-    check_answer(*exchange(world.hosts[0], "POST", "/v1/requests", sent))
+    check_answer(
+        *send_request(deployment.hosts[0], "POST", "/v1/requests", sent)
+    )
 
 
 @FUZZ
 @given(
     method=st.sampled_from(["GET", "DELETE"]),
-    key=st.text(min_size=1, max_size=40) | randoms,
+    key=st.text(min_size=1, max_size=40) | random_parts,
     homed=st.booleans(),
     query=st.dictionaries(
         st.sampled_from(["workspace", "from", "upstream", "generation"]),
@@ -128,8 +135,10 @@
         max_size=4,
     ),
 )
-def test_any_key_and_query(world, prefix, method, key, homed, query):
+def test_arbitrary_keys_and_queries(
+    deployment, prefix, method, key, homed, query
+):
     text = f"{prefix}.{key}" if homed else key
     pairs = [f"{name}={quote(value)}" for name, value in query.items()]
     path = f"/v1/requests/{quote(text, safe='')}?{'&'.join(pairs)}"
-    check_answer(*exchange(world.hosts[0], method, path))
+    check_answer(*send_request(deployment.hosts[0], method, path))
