--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -247,7 +247,7 @@
     body = deployment.body(prompt="[length=1]")
     ask(deployment.hosts[0], body)
     for method in ("GET", "DELETE"):
-        response = [
+        responses = [
             ask(
                 deployment.hosts[host],
                 None,
@@ -256,7 +256,7 @@
             )
             for key in (body["key"], deployment.key())
         ]
-        assert response[0] == response[1]
+        assert responses[0] == responses[1]
 
 
 def test_a_key_of_no_live_host_is_reported_as_unknown(deployment):
@@ -484,12 +484,12 @@
 def test_a_request_cancelled_before_it_ran_is_reported_as_refused(deployment):
     call(deployment.engine, "POST", "/control/faults", {"refuse": True})
     try:
-        response = [cancel_unstarted(deployment) for _ in range(8)]
+        outcomes = [cancel_unstarted(deployment) for _ in range(8)]
     finally:
         call(deployment.engine, "POST", "/control/faults", {"refuse": False})
     # "unknown" is possible while the engine's refusal is outstanding.
-    assert set(response) <= {"refused", "unknown"}
-    assert "refused" in response
+    assert set(outcomes) <= {"refused", "unknown"}
+    assert "refused" in outcomes
 
 
 OTHER_KEY = {"key": "another", "workspace": "museum"}
