--- a/src/balsamlift/_progress.py
+++ b/src/balsamlift/_progress.py
@@ -9,7 +9,7 @@
 import attrs
 import msgspec
 
-from balsamlift.requests import STREAM, Place, new_homed_key
+from balsamlift.requests import STREAM, HostAddress, new_homed_key
 from balsamlift.streams import (
     FAILED,
     REFUSED,
@@ -54,7 +54,7 @@
 
     request: Request
     key: str
-    place: Place
+    place: HostAddress
     on_tokens: OnTokens | None = None
     on_key: OnKey | None = None
     answer: Answer = attrs.field(factory=Answer)
@@ -63,7 +63,7 @@
     sent: bool = False  # whether a byte of this key may have left
     sent_before: bool = False  # the same, before the try that is under way
 
-    def draw_key(self, place: Place) -> None:
+    def draw_key(self, place: HostAddress) -> None:
         """Take a new key, of which nothing has left, at home at `place`."""
         self.place = place
         self.key = new_homed_key(place.key_prefix)
--- a/src/balsamlift/client.py
+++ b/src/balsamlift/client.py
@@ -23,7 +23,7 @@
 from balsamlift.exceptions import BalsamliftError
 from balsamlift.requests import (
     Addresses,
-    Place,
+    HostAddress,
     RequestBody,
     new_homed_key,
 )
@@ -94,7 +94,7 @@
         self._ask_again = ask_again
         self._http = HttpClient()
         self._streams = StreamClient()
-        self._places: list[Place] = []
+        self._places: list[HostAddress] = []
         self._keep_until_s = 0.0
 
     def close(self) -> None:
@@ -102,7 +102,7 @@
         self._http.close()
         self._streams.close()
 
-    async def places(self) -> list[Place]:
+    async def places(self) -> list[HostAddress]:
         """Return the hosts to use, asked for again once the list is old.
 
         Raises `NoHostError`.
@@ -196,7 +196,9 @@
             pause_s = min(pause_s * 2, MAX_PAUSE_S)
             place = await self._next_place(progress, place)
 
-    async def _try(self, progress: Progress, place: Place) -> Outcome | None:
+    async def _try(
+        self, progress: Progress, place: HostAddress
+    ) -> Outcome | None:
         """Return the outcome that one host tells, if it does."""
         try:
             return await self._read(progress, place)
@@ -208,7 +210,7 @@
             pass
         return None
 
-    async def _rehome(self, progress: Progress, place: Place) -> None:
+    async def _rehome(self, progress: Progress, place: HostAddress) -> None:
         """Draw a new key elsewhere when not a byte of the old one left."""
         self._keep_until_s = 0.0
         self._places = [p for p in self._places if p != place]
@@ -220,7 +222,9 @@
             others = [p for p in places if p != place]
             progress.draw_key((others or places)[0])
 
-    async def _next_place(self, progress: Progress, last: Place) -> Place:
+    async def _next_place(
+        self, progress: Progress, last: HostAddress
+    ) -> HostAddress:
         """Return the home if it was not the last tried, or another."""
         if not progress.sent or last != progress.place:
             return progress.place
@@ -231,7 +235,7 @@
         others = [p for p in places if p != last]
         return random.choice(others) if others else progress.place
 
-    async def _read(self, progress: Progress, place: Place) -> Outcome:
+    async def _read(self, progress: Progress, place: HostAddress) -> Outcome:
         stream = self._open(progress, place)
         progress.sent_before = progress.sent
         progress.sent = True
@@ -251,7 +255,7 @@
             raise
         raise StreamSilentError("ended without an end")
 
-    def _open(self, progress: Progress, place: Place) -> Stream:
+    def _open(self, progress: Progress, place: HostAddress) -> Stream:
         url = f"http://{place.address}/v1/requests"
         body: RequestBody | None = None
         if progress.accepted is None:
--- a/src/balsamlift/requests/__init__.py
+++ b/src/balsamlift/requests/__init__.py
@@ -1,6 +1,6 @@
 """Caller requests: idempotency keys, dispatch, answers and outcomes."""
 
-from balsamlift.requests._callers import Addresses, CallersServer, Place
+from balsamlift.requests._callers import Addresses, CallersServer, HostAddress
 from balsamlift.requests._errors import (
     AnswerExpiredError,
     BadBodyError,
@@ -38,13 +38,13 @@
     "Execution",
     "Home",
     "HomedKey",
+    "HostAddress",
     "IndexPastEndError",
     "KeyMissingError",
     "KeyReusedError",
     "KeyTable",
     "KindUnknownError",
     "Parts",
-    "Place",
     "RequestBody",
     "Requests",
     "TokenWrongError",
--- a/src/balsamlift/requests/_callers.py
+++ b/src/balsamlift/requests/_callers.py
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Place:
+class HostAddress:
     """Describe one host that a caller may use."""
 
     host: str
@@ -47,7 +47,7 @@
     """List the hosts for a caller, best first, and how long to cache them."""
 
     keep_ms: int
-    addresses: list[Place]
+    addresses: list[HostAddress]
 
 
 class CallersServer:
@@ -95,7 +95,7 @@
             self._server.stop()
             await self._server.close_all_connections()
 
-    def list_hosts(self, failure_domain: str) -> list[Place]:
+    def list_hosts(self, failure_domain: str) -> list[HostAddress]:
         """Return hosts for a caller: its own domain first, one elsewhere.
 
         Excludes hosts that are leaving or have not caught up with the
@@ -110,12 +110,12 @@
         chosen = same_domain[: MAX_ADDRESSES - 1]
         return chosen + other_domains[: MAX_ADDRESSES - len(chosen)]
 
-    def _own_entry(self) -> list[Place]:
+    def _own_entry(self) -> list[HostAddress]:
         parts = self._requests.parts
         ready = parts.presets.caught_up and parts.presets.in_force()
         if parts.peers.leaving or not ready:
             return []
-        place = Place(
+        place = HostAddress(
             host=parts.settings.host,
             address=self.address,
             failure_domain=parts.settings.failure_domain,
@@ -123,9 +123,9 @@
         )
         return [place]
 
-    def _peer_entries(self) -> list[Place]:
+    def _peer_entries(self) -> list[HostAddress]:
         return [
-            Place(
+            HostAddress(
                 host=peer.host,
                 address=peer.callers_address,
                 failure_domain=peer.failure_domain,
--- a/tests/scenarios/callers.py
+++ b/tests/scenarios/callers.py
@@ -9,7 +9,7 @@
 
 from balsamlift.client import Client, Progress, Request
 from balsamlift.exceptions import BalsamliftError
-from balsamlift.requests import Addresses, Place
+from balsamlift.requests import Addresses, HostAddress
 from balsamlift.streams import Outcome, Stream
 from scenarios.background import Background
 from scenarios.links import TestLink
@@ -88,7 +88,7 @@
         self.call.progress = await super()._begin(*args, **kwargs)
         return self.call.progress
 
-    def _open(self, progress: Progress, place: Place) -> Stream:
+    def _open(self, progress: Progress, place: HostAddress) -> Stream:
         self.call.tries += 1
         if progress.key not in self.call.keys:
             self.call.keys.append(progress.key)
@@ -109,7 +109,7 @@
         self._background = background
         self.by_host: dict[str, TestLink] = {}
 
-    async def through(self, place: Place) -> Place:
+    async def through(self, place: HostAddress) -> HostAddress:
         """Return the place behind its link."""
         loop = asyncio.get_running_loop()
         link = self.by_host.get(place.host)
