--- a/src/balsamlift/daemon.py
+++ b/src/balsamlift/daemon.py
@@ -24,8 +24,8 @@
 from balsamlift.presets import LogClient, Presets
 from balsamlift.requests import (
     CallersServer,
+    Dependencies,
     Home,
-    Parts,
     Requests,
 )
 from balsamlift.settings import Settings
@@ -84,7 +84,7 @@
             random.Random(settings.seed or None),
         )
         self.placement = Placement(clock, settings.seed)
-        parts = Parts(
+        parts = Dependencies(
             settings=settings,
             clock=clock,
             http=http,
--- a/src/balsamlift/requests/__init__.py
+++ b/src/balsamlift/requests/__init__.py
@@ -1,6 +1,7 @@
 """Caller requests: idempotency keys, dispatch, answers and outcomes."""
 
 from balsamlift.requests._callers import Addresses, CallersServer, HostAddress
+from balsamlift.requests._dependencies import Dependencies
 from balsamlift.requests._errors import (
     AnswerExpiredError,
     BadBodyError,
@@ -23,7 +24,6 @@
     parse_key,
 )
 from balsamlift.requests._messages import STREAM, WHOLE_ONLY, RequestBody
-from balsamlift.requests._parts import Parts
 from balsamlift.requests._service import Requests
 from balsamlift.requests._table import KeyTable
 
@@ -35,6 +35,7 @@
     "BadBodyError",
     "BadKeyError",
     "CallersServer",
+    "Dependencies",
     "Execution",
     "Home",
     "HomedKey",
@@ -44,7 +45,6 @@
     "KeyReusedError",
     "KeyTable",
     "KindUnknownError",
-    "Parts",
     "RequestBody",
     "Requests",
     "TokenWrongError",
--- a/src/balsamlift/requests/_callers.py
+++ b/src/balsamlift/requests/_callers.py
@@ -71,7 +71,7 @@
         operators.add_routes(
             [("/v1/peer" + REQUESTS_PATTERN, RequestsHandler, peers)]
         )
-        limits = self._requests.parts.settings.limits
+        limits = self._requests.dependencies.settings.limits
         slots = Slots(limits.streams)
         callers = {"requests": self._requests, "slots": slots}
         application = Application(
@@ -111,14 +111,16 @@
         return chosen + other_domains[: MAX_ADDRESSES - len(chosen)]
 
     def _own_entry(self) -> list[HostAddress]:
-        parts = self._requests.parts
-        ready = parts.presets.caught_up and parts.presets.in_force()
-        if parts.peers.leaving or not ready:
+        dependencies = self._requests.dependencies
+        ready = (
+            dependencies.presets.caught_up and dependencies.presets.in_force()
+        )
+        if dependencies.peers.leaving or not ready:
             return []
         place = HostAddress(
-            host=parts.settings.host,
+            host=dependencies.settings.host,
             address=self.address,
-            failure_domain=parts.settings.failure_domain,
+            failure_domain=dependencies.settings.failure_domain,
             key_prefix=self._requests.table.prefix,
         )
         return [place]
@@ -131,21 +133,21 @@
                 failure_domain=peer.failure_domain,
                 key_prefix=peer.key_prefix,
             )
-            for peer in self._requests.parts.peers.live()
+            for peer in self._requests.dependencies.peers.live()
             if peer.caught_up and not peer.leaving and peer.key_prefix
         ]
 
     def keep_ms(self) -> int:
         """Return how long callers may cache a list."""
-        return self._requests.parts.settings.address_keep_ms
+        return self._requests.dependencies.settings.address_keep_ms
 
     def own_domain(self) -> str:
         """Return this host's failure domain."""
-        return self._requests.parts.settings.failure_domain
+        return self._requests.dependencies.settings.failure_domain
 
     def stamp(self) -> str:
         """Return the current timestamp of this host's logical clock."""
-        return self._requests.parts.timeline.stamp()
+        return self._requests.dependencies.timeline.stamp()
 
 
 class AddressesHandler(JsonErrorHandler):
--- a/src/balsamlift/requests/_claimed.py
+++ b/src/balsamlift/requests/_claimed.py
@@ -11,11 +11,11 @@
     RefusedError,
     RequestError,
 )
+from balsamlift.requests._dependencies import Dependencies
 from balsamlift.requests._execution import Execution
 from balsamlift.requests._forwarder import RequestForwarder
 from balsamlift.requests._keys import Home, parse_home
 from balsamlift.requests._messages import RequestBody
-from balsamlift.requests._parts import Parts
 from balsamlift.requests._request_settings import RequestSettings
 from balsamlift.requests._runner import Runner, refused_outcome
 from balsamlift.streams import REFUSED, UNKNOWN
@@ -26,13 +26,13 @@
 
     def __init__(
         self,
-        parts: Parts,
+        dependencies: Dependencies,
         home: Home,
         runner: Runner,
         forwarder: RequestForwarder,
     ) -> None:
         """Start without any claims."""
-        self._parts = parts
+        self._dependencies = dependencies
         self._home = home
         self._runner = runner
         self._forwarder = forwarder
@@ -66,8 +66,8 @@
 
     def forget_old(self) -> None:
         """Drop executions that ended longer ago than the key lifetime."""
-        now_s = self._parts.clock.monotonic()
-        keep_s = self._parts.settings.limits.key_lifetime_ms / 1_000
+        now_s = self._dependencies.clock.monotonic()
+        keep_s = self._dependencies.settings.limits.key_lifetime_ms / 1_000
         for key, execution in list(self._executions.items()):
             ended = execution.outcome is not None
             if ended and now_s - execution.finished_s > keep_s:
@@ -80,7 +80,7 @@
         request_settings: RequestSettings,
     ) -> None:
         try:
-            claim = await self._parts.presets.claim(body.key)
+            claim = await self._dependencies.presets.claim(body.key)
         except RefusedError as error:
             self._refuse(execution, body, error)
             return
--- a/src/balsamlift/requests/_parts.py
+++ b/src/balsamlift/requests/_dependencies.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Parts:
+class Dependencies:
     """Bundle the services and clients that request handling uses."""
 
     settings: Settings
--- a/src/balsamlift/requests/_dispatch.py
+++ b/src/balsamlift/requests/_dispatch.py
@@ -9,9 +9,9 @@
 from balsamlift.exceptions import BalsamliftError, RefusedError
 from balsamlift.peers import Upstream
 from balsamlift.placement import Ticket
+from balsamlift.requests._dependencies import Dependencies
 from balsamlift.requests._execution import Execution
 from balsamlift.requests._messages import RequestBody
-from balsamlift.requests._parts import Parts
 from balsamlift.streams import REFUSED, Outcome
 
 RETRY_PAUSE_S = 0.05
@@ -46,7 +46,7 @@
 class Dispatch:
     """Hold one admitted request, its limits and the state of its dispatch."""
 
-    parts: Parts
+    dependencies: Dependencies
     execution: Execution
     body: RequestBody
     ticket: Ticket
@@ -69,11 +69,13 @@
 
     def remaining_s(self) -> float:
         """Return the seconds left until the deadline."""
-        return self.deadline_s - self.parts.clock.monotonic()
+        return self.deadline_s - self.dependencies.clock.monotonic()
 
     def record(self, kind: str, **detail: str | int | float) -> None:
         """Record an event of this request on the timeline."""
-        self.parts.timeline.record(kind, request=self.execution.key, **detail)
+        self.dependencies.timeline.record(
+            kind, request=self.execution.key, **detail
+        )
 
 
 async def choose_upstream(dispatch: Dispatch) -> Upstream | Outcome:
@@ -82,26 +84,32 @@
     An admitted request waits for an upstream for at most the preset's queue
     wait. Refusals by upstreams do not extend the wait.
     """
-    parts = dispatch.parts
+    dependencies = dispatch.dependencies
     if dispatch.wait_deadline_s is None:
-        now_s = parts.clock.monotonic()
+        now_s = dependencies.clock.monotonic()
         dispatch.wait_deadline_s = now_s + _max_wait_s(dispatch)
-    if dispatch.excluded and not parts.placement.may_retry():
-        await parts.clock.sleep(MAX_RETRY_PAUSE_S)
-    if dispatch.refusal and parts.clock.monotonic() > dispatch.wait_deadline_s:
+    if dispatch.excluded and not dependencies.placement.may_retry():
+        await dependencies.clock.sleep(MAX_RETRY_PAUSE_S)
+    if (
+        dispatch.refusal
+        and dependencies.clock.monotonic() > dispatch.wait_deadline_s
+    ):
         return _refused_outcome(dispatch.refusal)
     pause_s = RETRY_PAUSE_S
     while True:
         try:
             excluded = frozenset(dispatch.excluded)
-            chosen = parts.placement.choose(dispatch.ticket, excluded)
+            chosen = dependencies.placement.choose(dispatch.ticket, excluded)
             assert isinstance(chosen, Upstream)
             return chosen
         except RefusedError as error:
-            if parts.clock.monotonic() + pause_s > dispatch.wait_deadline_s:
+            if (
+                dependencies.clock.monotonic() + pause_s
+                > dispatch.wait_deadline_s
+            ):
                 return _refused_outcome(error)
         dispatch.excluded.clear()
-        await parts.clock.sleep(pause_s * random.uniform(0.5, 1.0))
+        await dependencies.clock.sleep(pause_s * random.uniform(0.5, 1.0))
         pause_s = min(pause_s * 2, MAX_RETRY_PAUSE_S)
 
 
@@ -114,7 +122,7 @@
 
 
 def _max_wait_s(dispatch: Dispatch) -> float:
-    in_force = dispatch.parts.presets.in_force()
+    in_force = dispatch.dependencies.presets.in_force()
     remaining_s = dispatch.remaining_s()
     if in_force is None:
         return remaining_s
@@ -131,16 +139,16 @@
     dispatch: Dispatch, upstream: Upstream, error: NotRunError
 ) -> None:
     """Report to placement and peers that this upstream refused the request."""
-    parts = dispatch.parts
+    dependencies = dispatch.dependencies
     dispatch.excluded.add(upstream.name)
     dispatch.refusal = error
     dispatch.execution.dispatched = dispatch.lost
-    parts.placement.handle_refusal(
+    dependencies.placement.handle_refusal(
         dispatch.ticket, upstream, error.reason, error.retry_after_ms
     )
     if error.reason == "draining":
-        parts.upstreams.mark(upstream.name, "leaving", "refusal")
+        dependencies.upstreams.mark(upstream.name, "leaving", "refusal")
     elif error.reason == "unreachable":
-        parts.upstreams.mark(upstream.name, "dead", "connect")
+        dependencies.upstreams.mark(upstream.name, "dead", "connect")
     dispatch.record("not_run", upstream=upstream.name, reason=error.reason)
-    parts.metrics.count(f"requests.not_run.{error.reason}")
+    dependencies.metrics.count(f"requests.not_run.{error.reason}")
--- a/src/balsamlift/requests/_engine.py
+++ b/src/balsamlift/requests/_engine.py
@@ -67,7 +67,7 @@
             if outcome is not None:
                 return outcome
         finally:
-            dispatch.parts.placement.release(dispatch.ticket, upstream)
+            dispatch.dependencies.placement.release(dispatch.ticket, upstream)
 
 
 def _no_engine_outcome(dispatch: Dispatch, refusal: Outcome) -> Outcome:
@@ -87,7 +87,7 @@
         reason=error.reason,
         delivered=execution.delivered,
     )
-    dispatch.parts.metrics.count("requests.engine_lost")
+    dispatch.dependencies.metrics.count("requests.engine_lost")
     if not dispatch.idempotent:
         kind = FAILED if error.ended else UNKNOWN
         return execution.fail(error.reason, kind)
@@ -103,7 +103,9 @@
 
 
 def _is_deterministic(dispatch: Dispatch) -> bool:
-    pool = dispatch.parts.settings.pools.get(dispatch.ticket.request.pool)
+    pool = dispatch.dependencies.settings.pools.get(
+        dispatch.ticket.request.pool
+    )
     return (
         pool is not None
         and pool.deterministic
@@ -114,8 +116,8 @@
 async def _run_on(dispatch: Dispatch, upstream: Upstream) -> Outcome:
     """Start a generation on this engine and follow it to its end."""
     reader = _GenerationReader(dispatch, upstream)
-    streams = dispatch.parts.settings.streams
-    stream = dispatch.parts.streams.open(
+    streams = dispatch.dependencies.settings.streams
+    stream = dispatch.dependencies.streams.open(
         "POST",
         f"http://{upstream.address}/v1/generations",
         _generation_body(dispatch),
@@ -174,9 +176,9 @@
 
     Raises `ExecutionLostError` if the engine reports none.
     """
-    timeout_ms = dispatch.parts.settings.streams.upstream_silence_ms
+    timeout_ms = dispatch.dependencies.settings.streams.upstream_silence_ms
     key_state = await fetch_key_state(
-        dispatch.parts, upstream, dispatch.execution.key, timeout_ms
+        dispatch.dependencies, upstream, dispatch.execution.key, timeout_ms
     )
     if key_state is None or not key_state.generation:
         raise ExecutionLostError("engine_silent", ended=False)
@@ -208,9 +210,11 @@
             # Only attempts without progress count towards the limit.
             failed_attempts = 0
             continue
-        await dispatch.parts.clock.sleep(RESUME_PAUSE_S * 2**failed_attempts)
+        await dispatch.dependencies.clock.sleep(
+            RESUME_PAUSE_S * 2**failed_attempts
+        )
         failed_attempts += 1
-    dispatch.parts.upstreams.mark(upstream.name, "dead", "resume")
+    dispatch.dependencies.upstreams.mark(upstream.name, "dead", "resume")
     raise ExecutionLostError("engine_lost", ended=False)
 
 
@@ -218,8 +222,8 @@
     dispatch: Dispatch, upstream: Upstream, reader: _GenerationReader
 ) -> Stream:
     dispatch.record("resumed", upstream=upstream.name, index=reader.next_index)
-    streams = dispatch.parts.settings.streams
-    return dispatch.parts.streams.open(
+    streams = dispatch.dependencies.settings.streams
+    return dispatch.dependencies.streams.open(
         "GET",
         f"http://{upstream.address}/v1/generations/{reader.generation}"
         f"?from={reader.next_index}",
@@ -243,7 +247,7 @@
         return
     url = f"http://{upstream.address}/v1/generations/{reader.generation}"
     with contextlib.suppress(CallError):
-        await dispatch.parts.http.call("DELETE", url, timeout_ms=2_000)
+        await dispatch.dependencies.http.call("DELETE", url, timeout_ms=2_000)
     dispatch.record("generation_cancelled", upstream=upstream.name)
 
 
@@ -301,8 +305,8 @@
             return
         self.generation = start.generation
         self._pending = attrs.evolve(start, upstream=self._upstream.name)
-        self._last_token_s = self._dispatch.parts.clock.monotonic()
-        self._dispatch.parts.placement.mark_started(
+        self._last_token_s = self._dispatch.dependencies.clock.monotonic()
+        self._dispatch.dependencies.placement.mark_started(
             self._dispatch.ticket, self._upstream
         )
         if self._held_tokens == 0:
@@ -327,10 +331,10 @@
         added = self._dispatch.execution.append_tokens(frame)
         if not added:
             return
-        now_s = self._dispatch.parts.clock.monotonic()
+        now_s = self._dispatch.dependencies.clock.monotonic()
         gap_ms = (now_s - self._last_token_s) * 1_000
         self._last_token_s = now_s
-        self._dispatch.parts.placement.record_progress(
+        self._dispatch.dependencies.placement.record_progress(
             self._dispatch.ticket, self._upstream, added, gap_ms
         )
 
--- a/src/balsamlift/requests/_forwarder.py
+++ b/src/balsamlift/requests/_forwarder.py
@@ -18,11 +18,11 @@
 
 from balsamlift._http import CallError
 from balsamlift.peers import Peer
+from balsamlift.requests._dependencies import Dependencies
 from balsamlift.requests._errors import KeyMissingError
 from balsamlift.requests._execution import Execution
 from balsamlift.requests._keys import Home
 from balsamlift.requests._messages import RequestBody
-from balsamlift.requests._parts import Parts
 from balsamlift.requests._recovery import recover_by_key, recover_from_engine
 from balsamlift.streams import (
     FAILED,
@@ -79,9 +79,9 @@
 class RequestForwarder:
     """Forward requests to their homes and relay the answers."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, dependencies: Dependencies) -> None:
         """Start without any forwarded requests."""
-        self._parts = parts
+        self._dependencies = dependencies
         self._tasks: set[asyncio.Task[None]] = set()
         self._executions: set[Execution] = set()
 
@@ -126,7 +126,7 @@
         for peer in self._routes(home, 0):
             url = _url(peer, f"/{quote(key)}?workspace={quote(workspace)}")
             try:
-                answer = await self._parts.http.call(
+                answer = await self._dependencies.http.call(
                     "DELETE", url, timeout_ms=5_000
                 )
             except CallError:
@@ -158,9 +158,9 @@
             outcome = await self._follow_home(forwarded)
         except asyncio.CancelledError:
             outcome = execution.fail("cancelled_here", UNKNOWN)
-            execution.finish(outcome, self._parts.clock.monotonic())
+            execution.finish(outcome, self._dependencies.clock.monotonic())
             raise
-        execution.finish(outcome, self._parts.clock.monotonic())
+        execution.finish(outcome, self._dependencies.clock.monotonic())
 
     async def _follow_home(self, forwarded: _ForwardedRequest) -> Outcome:
         pause_s = RETRY_PAUSE_S
@@ -172,7 +172,7 @@
                     return outcome
             if not routes:
                 break
-            await self._parts.clock.sleep(pause_s)
+            await self._dependencies.clock.sleep(pause_s)
             pause_s *= 2
         return await self._recover_without_home(forwarded)
 
@@ -182,7 +182,7 @@
         execution = forwarded.execution
         stream = self._open(forwarded, peer)
         forwarded.attempts += 1
-        self._parts.timeline.record(
+        self._dependencies.timeline.record(
             "passed_on", request=execution.key, to=peer.host
         )
         try:
@@ -190,7 +190,7 @@
         except StreamStatusError as error:
             return _status_outcome(forwarded, error)
         except (StreamError, FrameError) as error:
-            self._parts.timeline.record(
+            self._dependencies.timeline.record(
                 "pass_lost",
                 request=execution.key,
                 to=peer.host,
@@ -200,7 +200,7 @@
 
     def _open(self, forwarded: _ForwardedRequest, peer: Peer) -> Stream:
         execution = forwarded.execution
-        streams = self._parts.settings.streams
+        streams = self._dependencies.settings.streams
         method, path, body = "POST", "", forwarded.body
         if body is None or execution.accepted is not None:
             method, body = "GET", None
@@ -209,7 +209,7 @@
                 f"?workspace={quote(execution.workspace)}"
                 f"&from={execution.answer.next_index}"
             )
-        return self._parts.streams.open(
+        return self._dependencies.streams.open(
             method,
             _url(peer, path),
             body,
@@ -220,7 +220,7 @@
 
     def _routes(self, home: Home, hops: int) -> list[Peer]:
         """Return the peers that can answer for a key, best first."""
-        peers = self._parts.peers.live()
+        peers = self._dependencies.peers.live()
         holders = [p for p in peers if home.name in p.taken_over]
         home_peers = [p for p in peers if Home(p.host, p.incarnation) == home]
         routes = [*holders, *home_peers]
@@ -241,10 +241,10 @@
             engine = (execution.start.upstream, execution.start.generation)
         if engine is not None:
             outcome = await recover_from_engine(
-                self._parts, execution, *engine
+                self._dependencies, execution, *engine
             )
         else:
-            outcome = await recover_by_key(self._parts, execution)
+            outcome = await recover_by_key(self._dependencies, execution)
         if outcome is not None:
             return outcome
         unknown = execution.fail("home_lost", UNKNOWN)
--- a/src/balsamlift/requests/_handlers.py
+++ b/src/balsamlift/requests/_handlers.py
@@ -68,7 +68,7 @@
         self._requests = requests
         self._is_peer = slots is None
         self._slots = slots
-        self._timeline = requests.parts.timeline
+        self._timeline = requests.dependencies.timeline
         self._closed = False
         self._body = bytearray()
         self._body_bytes = 0
@@ -146,7 +146,7 @@
         super().reply(status, body)
 
     def _limit(self) -> int:
-        return self._requests.parts.settings.limits.body_bytes
+        return self._requests.dependencies.settings.limits.body_bytes
 
     def _is_too_large(self) -> bool:
         # A peer has already applied the limit to what it forwards.
@@ -201,7 +201,9 @@
         self.detach().close()
 
     def _heartbeat_s(self) -> float:
-        return self._requests.parts.settings.streams.heartbeat_ms / 1_000
+        return (
+            self._requests.dependencies.settings.streams.heartbeat_ms / 1_000
+        )
 
     def _reply_outcome(self, outcome: Outcome) -> None:
         if outcome.retry_after_ms is not None:
@@ -224,7 +226,9 @@
         if flushed.done():
             flushed.result()  # raises StreamClosedError
             return
-        timeout_s = self._requests.parts.settings.streams.abandon_ms / 1_000
+        timeout_s = (
+            self._requests.dependencies.settings.streams.abandon_ms / 1_000
+        )
         async with asyncio.timeout(timeout_s):
             await flushed
 
--- a/src/balsamlift/requests/_handover.py
+++ b/src/balsamlift/requests/_handover.py
@@ -16,10 +16,10 @@
 from balsamlift._http import CallError
 from balsamlift.operators import JsonHandler
 from balsamlift.peers import Peer
+from balsamlift.requests._dependencies import Dependencies
 from balsamlift.requests._errors import KeyMissingError
 from balsamlift.requests._execution import Execution
 from balsamlift.requests._keys import Home, HomedKey
-from balsamlift.requests._parts import Parts
 from balsamlift.streams import (
     REFUSED,
     UNKNOWN,
@@ -68,9 +68,9 @@
 class Handover:
     """Send this host's key table and store those of hosts that left."""
 
-    def __init__(self, parts: Parts, home: Home) -> None:
+    def __init__(self, dependencies: Dependencies, home: Home) -> None:
         """Start without any tables taken over."""
-        self._parts = parts
+        self._dependencies = dependencies
         self._home = home
         self._tables: dict[Home, _ReceivedTable] = {}
 
@@ -87,7 +87,7 @@
         if execution is None:
             execution = Execution(key.text, workspace)
             outcome = _absent_key_outcome(key, table)
-            execution.finish(outcome, self._parts.clock.monotonic())
+            execution.finish(outcome, self._dependencies.clock.monotonic())
         if execution.workspace != workspace:
             raise KeyMissingError("no such request")
         return execution
@@ -95,28 +95,28 @@
     def receive(self, message: KeyTableMessage) -> None:
         """Store the table of a leaving host and announce it to peers."""
         home = Home(message.host, message.incarnation)
-        now_s = self._parts.clock.monotonic()
+        now_s = self._dependencies.clock.monotonic()
         self._tables[home] = _ReceivedTable(
             received_s=now_s,
             oldest_epoch=message.oldest_epoch,
             executions={r.key: _from_record(r, now_s) for r in message.keys},
         )
         self._announce_tables()
-        self._parts.timeline.record(
+        self._dependencies.timeline.record(
             "keys_taken_over", home=home.host, keys=len(message.keys)
         )
 
     def forget_old(self) -> None:
         """Drop tables whose keys can no longer be used."""
-        lifetime_s = self._parts.settings.limits.key_lifetime_ms / 1_000
-        now_s = self._parts.clock.monotonic()
+        lifetime_s = self._dependencies.settings.limits.key_lifetime_ms / 1_000
+        now_s = self._dependencies.clock.monotonic()
         for home, table in list(self._tables.items()):
             if now_s - table.received_s > RETENTION_LIFETIMES * lifetime_s:
                 del self._tables[home]
                 self._announce_tables()
 
     def _announce_tables(self) -> None:
-        self._parts.peers.set_taken_over([h.name for h in self._tables])
+        self._dependencies.peers.set_taken_over([h.name for h in self._tables])
 
     async def send(
         self, executions: Iterable[Execution], oldest_epoch: int
@@ -134,7 +134,7 @@
         )
         url = f"http://{successor.operators_address}/v1/peer/keys"
         try:
-            answer = await self._parts.http.call(
+            answer = await self._dependencies.http.call(
                 "POST", url, message, timeout_ms=HANDOVER_TIMEOUT_MS
             )
         except CallError:
@@ -147,11 +147,11 @@
         return answer.status == 200
 
     def _choose_successor(self) -> Peer | None:
-        peers = [p for p in self._parts.peers.live() if not p.leaving]
+        peers = [p for p in self._dependencies.peers.live() if not p.leaving]
         same_domain = [
             p
             for p in peers
-            if p.failure_domain == self._parts.settings.failure_domain
+            if p.failure_domain == self._dependencies.settings.failure_domain
         ]
         candidates = sorted(same_domain or peers, key=lambda p: p.host)
         return candidates[0] if candidates else None
--- a/src/balsamlift/requests/_key_lookup.py
+++ b/src/balsamlift/requests/_key_lookup.py
@@ -12,8 +12,8 @@
 import attrs
 
 from balsamlift.peers import Upstream
+from balsamlift.requests._dependencies import Dependencies
 from balsamlift.requests._execution import Execution
-from balsamlift.requests._parts import Parts
 from balsamlift.requests._service_call import result_outcome
 from balsamlift.requests._upstream_responses import (
     DONE,
@@ -38,11 +38,13 @@
     key_state: KeyState
 
 
-async def find_by_key(parts: Parts, execution: Execution) -> KeyMatch | None:
+async def find_by_key(
+    dependencies: Dependencies, execution: Execution
+) -> KeyMatch | None:
     """Return the upstream that reports the key as running or done."""
-    candidates = [u for u in parts.upstreams.all() if u.tells_by_key]
+    candidates = [u for u in dependencies.upstreams.all() if u.tells_by_key]
     calls = [
-        _ask_upstream(parts, execution, u)
+        _ask_upstream(dependencies, execution, u)
         for u in candidates[:MAX_UPSTREAMS_ASKED]
     ]
     for match in await asyncio.gather(*calls):
@@ -52,14 +54,16 @@
 
 
 async def wait_for_result(
-    parts: Parts, execution: Execution, match: KeyMatch
+    dependencies: Dependencies, execution: Execution, match: KeyMatch
 ) -> Outcome | None:
     """Poll a plain service until the call is done and return its outcome."""
     for _ in range(MAX_POLLS):
         if match.key_state.state == DONE:
             return result_outcome(match.key_state.result)
-        await parts.clock.sleep(POLL_PAUSE_S)
-        next_match = await _ask_upstream(parts, execution, match.upstream)
+        await dependencies.clock.sleep(POLL_PAUSE_S)
+        next_match = await _ask_upstream(
+            dependencies, execution, match.upstream
+        )
         if next_match is None:
             return None
         match = next_match
@@ -67,10 +71,10 @@
 
 
 async def _ask_upstream(
-    parts: Parts, execution: Execution, upstream: Upstream
+    dependencies: Dependencies, execution: Execution, upstream: Upstream
 ) -> KeyMatch | None:
     key_state = await fetch_key_state(
-        parts, upstream, execution.key, ASK_TIMEOUT_MS
+        dependencies, upstream, execution.key, ASK_TIMEOUT_MS
     )
     if key_state is None or key_state.state not in (DONE, RUNNING):
         return None
--- a/src/balsamlift/requests/_recovery.py
+++ b/src/balsamlift/requests/_recovery.py
@@ -11,9 +11,9 @@
 import attrs
 
 from balsamlift.peers import Upstream
+from balsamlift.requests._dependencies import Dependencies
 from balsamlift.requests._execution import Execution
 from balsamlift.requests._key_lookup import find_by_key, wait_for_result
-from balsamlift.requests._parts import Parts
 from balsamlift.streams import (
     FAILED,
     UNKNOWN,
@@ -36,46 +36,54 @@
 RETRY_PAUSE_S = 0.1
 
 
-async def recover_by_key(parts: Parts, execution: Execution) -> Outcome | None:
+async def recover_by_key(
+    dependencies: Dependencies, execution: Execution
+) -> Outcome | None:
     """Return the outcome found by asking upstreams for the key, if any."""
-    match = await find_by_key(parts, execution)
+    match = await find_by_key(dependencies, execution)
     if match is None:
         return None
     if match.upstream.kind == "engine":
         generation = match.key_state.generation
         return await recover_from_engine(
-            parts, execution, match.upstream.name, generation
+            dependencies, execution, match.upstream.name, generation
         )
-    return await wait_for_result(parts, execution, match)
+    return await wait_for_result(dependencies, execution, match)
 
 
 async def recover_from_engine(
-    parts: Parts, execution: Execution, upstream_name: str, generation: str
+    dependencies: Dependencies,
+    execution: Execution,
+    upstream_name: str,
+    generation: str,
 ) -> Outcome | None:
     """Reread the whole generation from its engine; None if that fails."""
-    upstream = parts.upstreams.find(upstream_name)
+    upstream = dependencies.upstreams.find(upstream_name)
     if upstream is None or upstream.kind != "engine":
         return None
-    parts.timeline.record(
+    dependencies.timeline.record(
         "adopted", request=execution.key, upstream=upstream_name
     )
     execution.reset_first_index()
     for _ in range(MAX_ATTEMPTS):
-        stream = _open(parts, execution, upstream, generation)
+        stream = _open(dependencies, execution, upstream, generation)
         try:
             return await _read(execution, stream, upstream_name)
         except (StreamUnreachableError, StreamStatusError):
             return None
         except (StreamError, FrameError):
-            await parts.clock.sleep(RETRY_PAUSE_S)
+            await dependencies.clock.sleep(RETRY_PAUSE_S)
     return None
 
 
 def _open(
-    parts: Parts, execution: Execution, upstream: Upstream, generation: str
+    dependencies: Dependencies,
+    execution: Execution,
+    upstream: Upstream,
+    generation: str,
 ) -> Stream:
-    streams = parts.settings.streams
-    return parts.streams.open(
+    streams = dependencies.settings.streams
+    return dependencies.streams.open(
         "GET",
         f"http://{upstream.address}/v1/generations/{quote(generation)}"
         f"?from={execution.answer.next_index}",
--- a/src/balsamlift/requests/_registry.py
+++ b/src/balsamlift/requests/_registry.py
@@ -8,8 +8,8 @@
 from loguru import logger
 
 from balsamlift.exceptions import RefusedError
+from balsamlift.requests._dependencies import Dependencies
 from balsamlift.requests._execution import Execution
-from balsamlift.requests._parts import Parts
 
 log = logger.bind(part="requests")
 
@@ -19,9 +19,9 @@
 class ExecutionRegistry:
     """Drop old answers and cancel requests that callers have abandoned."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, dependencies: Dependencies) -> None:
         """Start without any executions."""
-        self._parts = parts
+        self._dependencies = dependencies
         self._executions: set[Execution] = set()
         self._bytes = 0
         self._task: asyncio.Task[None] | None = None
@@ -50,13 +50,13 @@
 
     def check_capacity(self) -> None:
         """Raise `RefusedError` while answers exceed their memory limit."""
-        if self._bytes > self._parts.settings.limits.answers_bytes:
+        if self._bytes > self._dependencies.settings.limits.answers_bytes:
             # The next sweep may free memory.
             raise RefusedError("answers_full", int(SWEEP_INTERVAL_S * 1_000))
 
     async def _sweep_periodically(self) -> None:
         while True:
-            await self._parts.clock.sleep(SWEEP_INTERVAL_S)
+            await self._dependencies.clock.sleep(SWEEP_INTERVAL_S)
             try:
                 self._sweep()
             except Exception:
@@ -64,7 +64,7 @@
                 log.exception("The sweep of executions failed.")
 
     def _sweep(self) -> None:
-        now_s = self._parts.clock.monotonic()
+        now_s = self._dependencies.clock.monotonic()
         held_bytes = 0
         for execution in list(self._executions):
             held_bytes += execution.answer.size_bytes
@@ -74,12 +74,12 @@
                 execution.drop_answer()
                 self._executions.discard(execution)
         self._bytes = held_bytes
-        self._parts.metrics.gauge("requests.answers_bytes", held_bytes)
+        self._dependencies.metrics.gauge("requests.answers_bytes", held_bytes)
 
     def _is_stale(self, execution: Execution, now_s: float) -> bool:
         if execution.watchers:
             return False
-        limits = self._parts.settings.limits
+        limits = self._dependencies.settings.limits
         if self._bytes > limits.answers_bytes:
             return True
         return now_s - execution.finished_s > limits.answer_keep_ms / 1_000
@@ -92,6 +92,6 @@
         if execution.abandoned_s is None:
             execution.abandoned_s = now_s
         abandoned_for_s = now_s - execution.abandoned_s
-        timeout_s = self._parts.settings.streams.abandon_ms / 1_000
+        timeout_s = self._dependencies.settings.streams.abandon_ms / 1_000
         if abandoned_for_s >= timeout_s and execution.task is not None:
             execution.task.cancel()
--- a/src/balsamlift/requests/_request_settings.py
+++ b/src/balsamlift/requests/_request_settings.py
@@ -10,13 +10,13 @@
 from balsamlift.exceptions import RefusedError
 from balsamlift.placement import PlacementRequest
 from balsamlift.presets import InForce, KindPreset, Preset, WorkspacePreset
+from balsamlift.requests._dependencies import Dependencies
 from balsamlift.requests._errors import (
     KindUnknownError,
     TokenWrongError,
     WorkspaceUnknownError,
 )
 from balsamlift.requests._messages import RequestBody
-from balsamlift.requests._parts import Parts
 
 ANY_WORKSPACE = "*"
 CHARACTERS_PER_TOKEN = 4  # rough estimate, if the caller gives no count
@@ -35,19 +35,21 @@
     on_services: bool
 
 
-def resolve_settings(parts: Parts, body: RequestBody) -> RequestSettings:
+def resolve_settings(
+    dependencies: Dependencies, body: RequestBody
+) -> RequestSettings:
     """Return the settings of a request from the preset in force.
 
     Raises `KindUnknownError` and `WorkspaceUnknownError`, and `RefusedError`
     while no preset is in force.
     """
-    in_force = parts.presets.in_force()
+    in_force = dependencies.presets.in_force()
     if in_force is None:
         raise RefusedError("no_preset", NO_PRESET_RETRY_MS)
     kind = in_force.preset.kinds.get(body.kind)
     if kind is None:
         raise KindUnknownError(f"no kind {body.kind!r}")
-    pool = parts.settings.pools.get(kind.pool)
+    pool = dependencies.settings.pools.get(kind.pool)
     if pool is None:
         raise KindUnknownError(f"kind {body.kind!r} has no pool here")
     pool_preset = in_force.preset.pools.get(kind.pool)
@@ -63,13 +65,13 @@
     )
 
 
-def authorize(parts: Parts, workspace: str, token: str) -> None:
+def authorize(dependencies: Dependencies, workspace: str, token: str) -> None:
     """Check that the token belongs to the workspace.
 
     Raises `WorkspaceUnknownError` and `TokenWrongError`. Checks nothing
     while no preset is in force, as no request is served then.
     """
-    in_force = parts.presets.in_force()
+    in_force = dependencies.presets.in_force()
     if in_force is None:
         return
     preset = _find_workspace(in_force.preset, workspace)
--- a/src/balsamlift/requests/_runner.py
+++ b/src/balsamlift/requests/_runner.py
@@ -7,12 +7,12 @@
 from loguru import logger
 
 from balsamlift.exceptions import RefusedError
+from balsamlift.requests._dependencies import Dependencies
 from balsamlift.requests._dispatch import Dispatch
 from balsamlift.requests._engine import run_on_engines
 from balsamlift.requests._execution import Execution
 from balsamlift.requests._keys import Home
 from balsamlift.requests._messages import RequestBody
-from balsamlift.requests._parts import Parts
 from balsamlift.requests._registry import ExecutionRegistry
 from balsamlift.requests._request_settings import (
     RequestSettings,
@@ -28,11 +28,11 @@
 class Runner:
     """Run requests that this host may dispatch."""
 
-    def __init__(self, parts: Parts, home: Home) -> None:
+    def __init__(self, dependencies: Dependencies, home: Home) -> None:
         """Start without any running requests."""
-        self._parts = parts
+        self._dependencies = dependencies
         self._home = home
-        self.registry = ExecutionRegistry(parts)
+        self.registry = ExecutionRegistry(dependencies)
 
     def resolve_settings(self, body: RequestBody) -> RequestSettings:
         """Return the settings of a new request.
@@ -40,7 +40,7 @@
         Raises `RequestError` for errors in the request itself and
         `RefusedError` if there is no memory for answers or no preset.
         """
-        request_settings = resolve_settings(self._parts, body)
+        request_settings = resolve_settings(self._dependencies, body)
         self.registry.check_capacity()
         return request_settings
 
@@ -81,9 +81,9 @@
     def finish(self, execution: Execution, outcome: Outcome) -> None:
         """Record the outcome in the execution, metrics and timeline."""
         self.registry.add(execution)
-        execution.finish(outcome, self._parts.clock.monotonic())
-        self._parts.metrics.count(f"requests.{outcome.outcome}")
-        self._parts.timeline.record(
+        execution.finish(outcome, self._dependencies.clock.monotonic())
+        self._dependencies.metrics.count(f"requests.{outcome.outcome}")
+        self._dependencies.timeline.record(
             "outcome",
             request=execution.key,
             outcome=outcome.outcome,
@@ -97,11 +97,11 @@
         body: RequestBody,
         request_settings: RequestSettings,
     ) -> Outcome:
-        parts = self._parts
+        dependencies = self._dependencies
         placement_request = to_placement_request(body, request_settings)
-        ticket = await parts.placement.admit(placement_request)
+        ticket = await dependencies.placement.admit(placement_request)
         dispatch = Dispatch(
-            parts=parts,
+            dependencies=dependencies,
             execution=execution,
             body=body,
             ticket=ticket,
@@ -109,7 +109,7 @@
             idempotent=request_settings.idempotent,
             max_tokens=placement_request.max_tokens,
             priority=placement_request.priority,
-            deadline_s=parts.clock.monotonic()
+            deadline_s=dependencies.clock.monotonic()
             + placement_request.deadline_ms / 1_000,
         )
         self._accept(dispatch, request_settings)
@@ -118,7 +118,7 @@
         )
         outcome = await run(dispatch)
         if outcome.outcome == WHOLE:
-            parts.placement.finish(ticket, outcome.tokens)
+            dependencies.placement.finish(ticket, outcome.tokens)
         return outcome
 
     def _accept(
--- a/src/balsamlift/requests/_service.py
+++ b/src/balsamlift/requests/_service.py
@@ -9,13 +9,13 @@
 from balsamlift.kernel import Kernel
 from balsamlift.operators import OperatorsServer
 from balsamlift.requests._claimed import ClaimedRequests
+from balsamlift.requests._dependencies import Dependencies
 from balsamlift.requests._errors import KeyMissingError, KeyReusedError
 from balsamlift.requests._execution import Execution
 from balsamlift.requests._forwarder import RequestForwarder
 from balsamlift.requests._handover import Handover, HandoverHandler
 from balsamlift.requests._keys import Home, HomedKey, UnhomedKey, parse_key
 from balsamlift.requests._messages import RequestBody
-from balsamlift.requests._parts import Parts
 from balsamlift.requests._request_settings import authorize
 from balsamlift.requests._runner import Runner, refused_outcome
 from balsamlift.requests._table import KeyRetiredError, KeyTable
@@ -30,20 +30,20 @@
 
     name = "requests"
 
-    def __init__(self, parts: Parts, home: Home) -> None:
+    def __init__(self, dependencies: Dependencies, home: Home) -> None:
         """Start with an empty key table."""
-        limits = parts.settings.limits
-        self.parts = parts
+        limits = dependencies.settings.limits
+        self.dependencies = dependencies
         self.home = home
         self.table = KeyTable(
-            home, parts.clock, limits.key_lifetime_ms, limits.keys
+            home, dependencies.clock, limits.key_lifetime_ms, limits.keys
         )
-        self.handover = Handover(parts, home)
-        self.forwarder = RequestForwarder(parts)
+        self.handover = Handover(dependencies, home)
+        self.forwarder = RequestForwarder(dependencies)
         self.taking = True
-        self._runner = Runner(parts, home)
+        self._runner = Runner(dependencies, home)
         self._claimed = ClaimedRequests(
-            parts, home, self._runner, self.forwarder
+            dependencies, home, self._runner, self.forwarder
         )
         self._maintenance: asyncio.Task[None] | None = None
 
@@ -68,7 +68,7 @@
 
         Raises `WorkspaceUnknownError` and `TokenWrongError`.
         """
-        authorize(self.parts, workspace, token)
+        authorize(self.dependencies, workspace, token)
 
     def submit(self, body: RequestBody, hops: int = 0) -> Execution:
         """Return the execution of a request, started here or at its home.
@@ -134,7 +134,7 @@
         try:
             async with asyncio.timeout(timeout_s):
                 while self._is_busy():
-                    await self.parts.clock.sleep(IDLE_POLL_S)
+                    await self.dependencies.clock.sleep(IDLE_POLL_S)
         except TimeoutError:
             return False
         return True
@@ -165,7 +165,7 @@
             self.table.check_takes(key)
         except KeyRetiredError:
             outcome = Outcome(outcome=UNKNOWN, reason="key_retired")
-            execution.finish(outcome, self.parts.clock.monotonic())
+            execution.finish(outcome, self.dependencies.clock.monotonic())
             return execution
         self._check_accepting()
         try:
@@ -193,11 +193,11 @@
 
     async def _maintain(self) -> None:
         while True:
-            self.parts.peers.set_key_prefix(self.table.prefix)
-            self.parts.metrics.gauge("requests.keys", len(self.table))
+            self.dependencies.peers.set_key_prefix(self.table.prefix)
+            self.dependencies.metrics.gauge("requests.keys", len(self.table))
             self._claimed.forget_old()
             self.handover.forget_old()
-            await self.parts.clock.sleep(MAINTENANCE_INTERVAL_S)
+            await self.dependencies.clock.sleep(MAINTENANCE_INTERVAL_S)
 
 
 def _require_owned(execution: Execution | None, workspace: str) -> Execution:
--- a/src/balsamlift/requests/_service_call.py
+++ b/src/balsamlift/requests/_service_call.py
@@ -57,11 +57,11 @@
             if not dispatch.idempotent:
                 return dispatch.execution.fail(error.reason, UNKNOWN)
         finally:
-            dispatch.parts.placement.release(dispatch.ticket, upstream)
+            dispatch.dependencies.placement.release(dispatch.ticket, upstream)
 
 
 async def _run_on(dispatch: Dispatch, upstream: Upstream) -> Outcome:
-    dispatch.parts.placement.mark_started(dispatch.ticket, upstream)
+    dispatch.dependencies.placement.mark_started(dispatch.ticket, upstream)
     body = dispatch.body
     call_body = {
         "key": body.key,
@@ -71,12 +71,12 @@
         "idempotent": dispatch.idempotent,
     }
     try:
-        answer = await dispatch.parts.http.call(
+        answer = await dispatch.dependencies.http.call(
             "POST",
             f"http://{upstream.address}/v1/calls",
             call_body,
             timeout_ms=_timeout_ms(dispatch),
-            connect_ms=dispatch.parts.settings.streams.connect_ms,
+            connect_ms=dispatch.dependencies.settings.streams.connect_ms,
             fresh=True,
         )
     except CallError as error:
@@ -87,7 +87,7 @@
 
 
 def _timeout_ms(dispatch: Dispatch) -> int:
-    silence_ms = dispatch.parts.settings.streams.upstream_silence_ms
+    silence_ms = dispatch.dependencies.settings.streams.upstream_silence_ms
     return max(1, min(silence_ms, int(dispatch.remaining_s() * 1_000)))
 
 
@@ -114,7 +114,7 @@
     """Poll the upstream by key for a call whose response was lost."""
     while dispatch.remaining_s() > 0:
         key_state = await fetch_key_state(
-            dispatch.parts,
+            dispatch.dependencies,
             upstream,
             dispatch.execution.key,
             _timeout_ms(dispatch),
@@ -123,5 +123,5 @@
             return result_outcome(key_state.result)
         if key_state is None or key_state.state != RUNNING:
             break
-        await dispatch.parts.clock.sleep(POLL_PAUSE_S)
+        await dispatch.dependencies.clock.sleep(POLL_PAUSE_S)
     raise ExecutionLostError("service_silent", ended=False)
--- a/src/balsamlift/requests/_upstream_responses.py
+++ b/src/balsamlift/requests/_upstream_responses.py
@@ -9,7 +9,7 @@
 
 from balsamlift._http import CallError
 from balsamlift.peers import Upstream
-from balsamlift.requests._parts import Parts
+from balsamlift.requests._dependencies import Dependencies
 
 DONE = "done"
 RUNNING = "running"
@@ -50,7 +50,7 @@
 
 
 async def fetch_key_state(
-    parts: Parts, upstream: Upstream, key: str, timeout_ms: int
+    dependencies: Dependencies, upstream: Upstream, key: str, timeout_ms: int
 ) -> KeyState | None:
     """Return the state of a key at the upstream.
 
@@ -60,7 +60,7 @@
         return None
     url = f"http://{upstream.address}/v1/keys/{key}"
     try:
-        answer = await parts.http.call(
+        answer = await dependencies.http.call(
             "GET", url, timeout_ms=timeout_ms, fresh=True
         )
         return answer.decode(KeyState)
