--- a/src/balsamlift/client.py
+++ b/src/balsamlift/client.py
@@ -38,7 +38,7 @@
     Stream,
     StreamClient,
     StreamError,
-    StreamSilentError,
+    StreamInterruptedError,
     StreamStatusError,
     StreamUnreachableError,
     Tokens,
@@ -253,7 +253,7 @@
         except StreamUnreachableError:
             progress.sent = progress.sent_before
             raise
-        raise StreamSilentError("ended without an end")
+        raise StreamInterruptedError("ended without an end")
 
     def _open(self, progress: Progress, place: HostAddress) -> Stream:
         url = f"http://{place.address}/v1/requests"
--- a/src/balsamlift/requests/_engine.py
+++ b/src/balsamlift/requests/_engine.py
@@ -36,7 +36,7 @@
     Start,
     Stream,
     StreamError,
-    StreamSilentError,
+    StreamInterruptedError,
     StreamStatusError,
     StreamUnreachableError,
     TokenGapError,
@@ -289,7 +289,7 @@
                     self._on_start(event.decode(Start))
                 elif event.name == "end":
                     return self._on_end(event.decode(GenerationEnd))
-        raise StreamSilentError("ended without an end")
+        raise StreamInterruptedError("ended without an end")
 
     def _on_start(self, start: Start) -> None:
         if not start.generation:
--- a/src/balsamlift/requests/_forwarder.py
+++ b/src/balsamlift/requests/_forwarder.py
@@ -34,7 +34,7 @@
     Start,
     Stream,
     StreamError,
-    StreamSilentError,
+    StreamInterruptedError,
     StreamStatusError,
     Tokens,
 )
@@ -302,4 +302,4 @@
                 execution.begin(start)
             elif event.name == "end":
                 return event.decode(Outcome)
-    raise StreamSilentError("ended without an end")
+    raise StreamInterruptedError("ended without an end")
--- a/src/balsamlift/requests/_recovery.py
+++ b/src/balsamlift/requests/_recovery.py
@@ -25,7 +25,7 @@
     Start,
     Stream,
     StreamError,
-    StreamSilentError,
+    StreamInterruptedError,
     StreamStatusError,
     StreamUnreachableError,
     TokenGapError,
@@ -108,7 +108,7 @@
                 execution.begin(attrs.evolve(start, upstream=upstream))
             elif event.name == "end":
                 return _outcome(execution, event.decode(GenerationEnd))
-    raise StreamSilentError("ended without an end")
+    raise StreamInterruptedError("ended without an end")
 
 
 def _outcome(execution: Execution, end: GenerationEnd) -> Outcome:
--- a/src/balsamlift/streams/__init__.py
+++ b/src/balsamlift/streams/__init__.py
@@ -29,7 +29,7 @@
     Stream,
     StreamClient,
     StreamError,
-    StreamSilentError,
+    StreamInterruptedError,
     StreamStatusError,
     StreamUnreachableError,
 )
@@ -54,7 +54,7 @@
     "Stream",
     "StreamClient",
     "StreamError",
-    "StreamSilentError",
+    "StreamInterruptedError",
     "StreamStatusError",
     "StreamUnreachableError",
     "TokenGapError",
--- a/src/balsamlift/streams/_stream.py
+++ b/src/balsamlift/streams/_stream.py
@@ -36,7 +36,7 @@
     """Raise when no connection was made, so that no byte was sent."""
 
 
-class StreamSilentError(StreamError):
+class StreamInterruptedError(StreamError):
     """Raise when a stream fails or goes silent after the request was sent."""
 
 
@@ -128,7 +128,7 @@
     async def events(self) -> AsyncGenerator[Event, None]:
         """Yield events until the server ends the stream.
 
-        Raises `StreamUnreachableError`, `StreamSilentError`,
+        Raises `StreamUnreachableError`, `StreamInterruptedError`,
         `StreamStatusError` and, for malformed events, `FrameError`.
         """
         timer = SilenceTimer(self._silence_s, self._on_silence)
@@ -164,7 +164,7 @@
         self._is_silent = False
         await self._changed.wait()
         if self._is_silent:
-            raise StreamSilentError("no data within the silence timeout")
+            raise StreamInterruptedError("no data within the silence timeout")
 
     def _on_silence(self) -> None:
         self._is_silent = True
@@ -172,14 +172,14 @@
 
     def _check_end(self) -> None:
         if self._fetch.cancelled():
-            raise StreamSilentError("cancelled")
+            raise StreamInterruptedError("cancelled")
         try:
             response = self._fetch.result()
         except CurlError as error:
             # Raised even with `raise_error=False`.
             if error.errno in _NOT_CONNECTED:
                 raise StreamUnreachableError(str(error)) from error
-            raise StreamSilentError(str(error)) from error
+            raise StreamInterruptedError(str(error)) from error
         if response.code != OK:
             headers = dict(response.headers)
             raise StreamStatusError(response.code, headers, bytes(self._body))
