--- a/examples/embed.py
+++ b/examples/embed.py
@@ -23,7 +23,7 @@
     home = Home("entry-1", "c0ffee")
     table = KeyTable(home, SystemClock(), lifetime_ms=60_000, capacity=100)
     key = parse(new_homed_key(table.prefix))
-    table.check_takes(key)
+    table.check_accepts(key)
     execution = Execution(key.text, "bench")
     table.add(key, execution)
     execution.finish(Outcome(outcome=WHOLE), now_s=0.0)
--- a/src/balsamlift/requests/_service.py
+++ b/src/balsamlift/requests/_service.py
@@ -162,7 +162,7 @@
             return _require_same_request(execution, body)
         execution = Execution(body.key, body.workspace, body)
         try:
-            self.table.check_takes(key)
+            self.table.check_accepts(key)
         except KeyRetiredError:
             outcome = Outcome(outcome=UNKNOWN, reason="key_retired")
             execution.finish(outcome, self.dependencies.clock.monotonic())
--- a/src/balsamlift/requests/_table.py
+++ b/src/balsamlift/requests/_table.py
@@ -68,7 +68,7 @@
         """Return the execution of a key, if it is remembered."""
         return self._by_epoch.get(key.epoch, {}).get(key.text)
 
-    def check_takes(self, key: HomedKey) -> None:
+    def check_accepts(self, key: HomedKey) -> None:
         """Raise unless this key, which is not in the table, is accepted.
 
         Raises `KeyRetiredError` if it may have run, `RefusedError` if it
--- a/tests/test_requests_table.py
+++ b/tests/test_requests_table.py
@@ -48,7 +48,7 @@
         if self.table.find(key) is not None:
             return
         try:
-            self.table.check_takes(key)
+            self.table.check_accepts(key)
         except KeyRetiredError:
             return
         except RefusedError:
@@ -98,19 +98,19 @@
     clock = ManualClock()
     table = KeyTable(HOME, clock, 1_000, 1)
     first = parse_key(f"{table.prefix}.{1:032x}")
-    table.check_takes(first)
+    table.check_accepts(first)
     execution = Execution(first.text, "w")
     table.add(first, execution)
     execution.finish(Outcome(outcome=WHOLE), clock.now_s)
     clock.now_s = 1.0  # two epochs later
     second = parse_key(f"{table.prefix}.{2:032x}")
     with pytest.raises(RefusedError):
-        table.check_takes(second)
+        table.check_accepts(second)
     clock.now_s = 1.5  # the first key is dropped, so the table has space
     fresh = parse_key(f"{table.prefix}.{3:032x}")
-    table.check_takes(fresh)
+    table.check_accepts(fresh)
     with pytest.raises(RefusedError):
-        table.check_takes(second)
+        table.check_accepts(second)
 
 
 @pytest.mark.parametrize(
