--- a/src/balsamlift/daemon.py
+++ b/src/balsamlift/daemon.py
@@ -144,7 +144,7 @@
         self.timeline.record("leaving")
         self.peers.announce_leaving()
         await self.clock.sleep(self.settings.address_keep_ms / 1_000)
-        self.requests.taking = False
+        self.requests.accepting = False
         bound_s = self.settings.shutdown_ms / 1_000
         if not await self.requests.wait_idle(bound_s):
             log.error("Requests still run after {} s.", bound_s)
--- a/src/balsamlift/requests/_service.py
+++ b/src/balsamlift/requests/_service.py
@@ -40,7 +40,7 @@
         )
         self.handover = Handover(dependencies, home)
         self.forwarder = RequestForwarder(dependencies)
-        self.taking = True
+        self.accepting = True
         self._runner = Runner(dependencies, home)
         self._claimed = ClaimedRequests(
             dependencies, home, self._runner, self.forwarder
@@ -141,7 +141,7 @@
 
     async def hand_over(self) -> None:
         """Stop accepting keys and send the key table to one successor."""
-        self.taking = False
+        self.accepting = False
         await self.handover.send(
             self.table.executions(), self.table.oldest_epoch
         )
@@ -187,7 +187,7 @@
         return self._claimed.submit(body)
 
     def _check_accepting(self) -> None:
-        if not self.taking:
+        if not self.accepting:
             # Need not be recorded: this incarnation accepts no more keys.
             raise RefusedError("leaving", 0)
 
