--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -6,7 +6,7 @@
 from functools import partial
 
 import pytest
-from _callers_world import (
+from _callers_deployment import (
     BODY_BYTES,
     STREAMS,
     TOKEN,
--- a/tests/test_callers_fuzz.py
+++ b/tests/test_callers_fuzz.py
@@ -6,7 +6,7 @@
 from urllib.parse import quote
 
 import pytest
-from _callers_world import Deployment, ask, events_in
+from _callers_deployment import Deployment, ask, events_in
 from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -9,7 +9,7 @@
 
 import attrs
 import pytest
-from _callers_world import Deployment, digest
+from _callers_deployment import Deployment, digest
 from _stand_in_calls import call
 
 from balsamlift.client import Client, Request
