--- a/src/balsamlift/requests/_request_settings.py
+++ b/src/balsamlift/requests/_request_settings.py
@@ -85,7 +85,7 @@
 def to_placement_request(
     body: RequestBody, request_settings: RequestSettings
 ) -> PlacementRequest:
-    """Return the request to placement."""
+    """Return the `PlacementRequest` for a request and its settings."""
     kind = request_settings.kind
     estimated_tokens = max(1, len(body.prompt) // CHARACTERS_PER_TOKEN)
     placement_request = PlacementRequest(
