--- a/src/balsamlift/daemon.py
+++ b/src/balsamlift/daemon.py
@@ -24,8 +24,8 @@
 from balsamlift.presets import LogClient, Presets
 from balsamlift.requests import (
     CallersServer,
+    Dependencies,
     Home,
-    Parts,
     Requests,
 )
 from balsamlift.settings import Settings
@@ -84,7 +84,7 @@
             random.Random(settings.seed or None),
         )
         self.placement = Placement(clock, settings.seed)
-        parts = Parts(
+        parts = Dependencies(
             settings=settings,
             clock=clock,
             http=http,
@@ -144,7 +144,7 @@
         self.timeline.record("leaving")
         self.peers.announce_leaving()
         await self.clock.sleep(self.settings.address_keep_ms / 1_000)
-        self.requests.taking = False
+        self.requests.accepting = False
         bound_s = self.settings.shutdown_ms / 1_000
         if not await self.requests.wait_idle(bound_s):
             log.error("Requests still run after {} s.", bound_s)
--- a/src/balsamlift/requests/_replies.py
+++ b/src/balsamlift/requests/_base_handlers.py
@@ -1,4 +1,4 @@
-"""Typed JSON answers for whatever goes wrong at the callers' address."""
+"""Base request handlers that report errors as JSON."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 NOT_FOUND = 404
 METHOD_NOT_ALLOWED = 405
-INTERNAL = 500
+INTERNAL_SERVER_ERROR = 500
 _CODES = {NOT_FOUND: "route_missing", METHOD_NOT_ALLOWED: "method_wrong"}
 _MESSAGES = {
     NOT_FOUND: "no such route",
@@ -20,8 +20,8 @@
 }
 
 
-class TypedHandler(RequestHandler):
-    """Answer every error as `{"error", "message"}`."""
+class JsonErrorHandler(RequestHandler):
+    """Send every error as `{"error", "message"}`."""
 
     def reply(self, status: int, body: bytes) -> None:
         """Send encoded JSON."""
@@ -30,12 +30,12 @@
         self.finish(body)
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer an error with its type's code."""
+        """Send an error with the status and code of its type."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if isinstance(error, RequestError):
             status_code, code = error.status, error.code
             message = error.message
-        elif status_code >= INTERNAL:
+        elif status_code >= INTERNAL_SERVER_ERROR:
             code, message = "internal", "an error of ours"
         else:
             code = _CODES.get(status_code, "bad_request")
@@ -44,7 +44,7 @@
         self.reply(status_code, msgspec.json.encode(body))
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
-        """Log only what is no typed answer."""
+        """Log exceptions other than the expected `BalsamliftError`."""
         if not isinstance(value, BalsamliftError):
             super().log_exception(typ, value, tb)
 
@@ -56,9 +56,9 @@
         return value
 
 
-class MissingRouteHandler(TypedHandler):
-    """Answer 404 where no route is."""
+class MissingRouteHandler(JsonErrorHandler):
+    """Respond 404 to every path without a route."""
 
     def prepare(self) -> None:
-        """Answer so, whatever the method."""
+        """Raise 404, whatever the method."""
         raise HTTPError(NOT_FOUND)
--- a/src/balsamlift/requests/_handlers.py
+++ b/src/balsamlift/requests/_handlers.py
@@ -1,4 +1,4 @@
-"""The HTTP routes of requests, for callers and for peers."""
+"""HTTP handlers for requests, on the callers' and the peers' routes."""
 
 from __future__ import annotations
 
@@ -14,6 +14,10 @@
 from balsamlift._http import CLOCK_HEADER
 from balsamlift._silence import SilenceTimer
 from balsamlift.exceptions import RefusedError
+from balsamlift.requests._base_handlers import (
+    METHOD_NOT_ALLOWED,
+    JsonErrorHandler,
+)
 from balsamlift.requests._errors import (
     AnswerExpiredError,
     BadQueryError,
@@ -22,9 +26,8 @@
     StreamsFullError,
 )
 from balsamlift.requests._execution import Execution
+from balsamlift.requests._forwarder import HOPS_HEADER, MAX_HOPS
 from balsamlift.requests._messages import decode_request
-from balsamlift.requests._remote import HOPS_HEADER, MAX_HOPS
-from balsamlift.requests._replies import METHOD_NOT_ALLOWED, TypedHandler
 from balsamlift.requests._service import Requests
 from balsamlift.requests._slots import Slots
 from balsamlift.streams import (
@@ -39,54 +42,54 @@
     encode_raw_event,
 )
 
-STATUS = {REFUSED: 503, UNKNOWN: 504}
+OUTCOME_STATUS = {REFUSED: 503, UNKNOWN: 504}
 BEARER = "Bearer "
-FRAMES_IN_A_ROW = 32
+FRAMES_PER_YIELD = 32
 RETRY_AFTER_S = 1
 MAX_INDEX_DIGITS = 12
 
 
 @stream_request_body
-class RequestsHandler(TypedHandler):
-    """Answer one call about one request.
+class RequestsHandler(JsonErrorHandler):
+    """Submit, read or cancel one request.
 
-    Of a body over the limit the rest is read but not kept: closing at once
-    would reset the connection before the caller has read why.
+    The rest of a body over the limit is read and discarded: closing the
+    connection at once would reset it before the caller has read the error.
     """
 
     def initialize(
         self, requests: Requests, slots: Slots | None = None
     ) -> None:
-        """Keep the service, and the slots for callers' streams.
+        """Store the service and the slots for callers' streams.
 
-        Peers are trusted to have checked tokens and limits; they need no
-        slots.
+        Without slots the handler serves peers, which have already checked
+        the token and the limits.
         """
         self._requests = requests
-        self._trusted = slots is None
+        self._is_peer = slots is None
         self._slots = slots
-        self._timeline = requests.parts.timeline
+        self._timeline = requests.dependencies.timeline
         self._closed = False
         self._body = bytearray()
         self._body_bytes = 0
 
     def prepare(self) -> None:
-        """Take over the caller's clock."""
+        """Advance the logical clock to the caller's timestamp."""
         self._timeline.observe(self.request.headers.get(CLOCK_HEADER, ""))
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep the body up to its limit."""
+        """Buffer the body up to its limit."""
         self._body_bytes += len(chunk)
         if not self._is_too_large():
             self._body += chunk
 
     def on_connection_close(self) -> None:
-        """Note that nobody reads any more."""
+        """Record that the connection is closed."""
         super().on_connection_close()
         self._closed = True
 
     async def post(self, key: str | None) -> None:
-        """Take a request and stream its answer."""
+        """Submit a request and stream its answer."""
         if key is not None:
             raise HTTPError(METHOD_NOT_ALLOWED)
         if self._is_too_large():
@@ -94,19 +97,19 @@
         body = decode_request(bytes(self._body))
         self._body.clear()
         self._authorize(body.workspace)
-        with self._slot():
+        with self._stream_slot():
             execution = self._requests.submit(body, self._hops())
             _check_index(execution, 0)
             await self._deliver(execution, 0)
 
     async def get(self, key: str | None) -> None:
-        """Stream an answer from an index on."""
+        """Stream an answer, starting at the index in `from`."""
         if key is None:
             raise HTTPError(METHOD_NOT_ALLOWED)
         workspace = self.query("workspace")
         self._authorize(workspace)
         first_index = self._index()
-        with self._slot():
+        with self._stream_slot():
             execution = self._requests.follow(
                 key, workspace, first_index, self._engine(), self._hops()
             )
@@ -123,7 +126,7 @@
         self.reply(200, msgspec.json.encode({"cancelled": cancelled}))
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer an error with its type's code."""
+        """Send an error as a refused outcome or as a typed JSON error."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if isinstance(error, StreamsFullError):
             self.set_header("Retry-After", RETRY_AFTER_S)
@@ -138,28 +141,28 @@
         self._reply_outcome(outcome)
 
     def reply(self, status: int, body: bytes) -> None:
-        """Send encoded JSON under this host's clock."""
+        """Send encoded JSON with this host's clock in a header."""
         self.set_header(CLOCK_HEADER, self._timeline.stamp())
         super().reply(status, body)
 
     def _limit(self) -> int:
-        return self._requests.parts.settings.limits.body_bytes
+        return self._requests.dependencies.settings.limits.body_bytes
 
     def _is_too_large(self) -> bool:
-        # What a peer passes on, its callers' limit has been applied to.
-        return not self._trusted and self._body_bytes > self._limit()
+        # A peer has already applied the limit to what it forwards.
+        return not self._is_peer and self._body_bytes > self._limit()
 
-    def _slot(self) -> AbstractContextManager[None]:
-        return self._slots.taken() if self._slots else nullcontext()
+    def _stream_slot(self) -> AbstractContextManager[None]:
+        return self._slots.acquire() if self._slots else nullcontext()
 
     def _authorize(self, workspace: str) -> None:
-        if self._trusted:
+        if self._is_peer:
             return
         header = self.request.headers.get("Authorization", "")
         self._requests.authorize(workspace, header.removeprefix(BEARER))
 
     def _hops(self) -> int:
-        if not self._trusted:
+        if not self._is_peer:
             return 0
         hops = self.request.headers.get(HOPS_HEADER, "1")
         return int(hops) if hops in ("0", "1", "2") else MAX_HOPS
@@ -179,7 +182,7 @@
         execution.watch()
         try:
             await execution.wait_settled(self._heartbeat_s())
-            if _ended_at_once(execution):
+            if _ended_without_start(execution):
                 assert execution.outcome is not None
                 self._reply_outcome(execution.outcome)
                 return
@@ -193,21 +196,29 @@
             execution.unwatch()
 
     def _drop_connection(self) -> None:
-        # Finishing would wait for this caller, and end its part of the
-        # stream as if that were all.
+        # finish() would wait for the caller to read, and would end the
+        # truncated stream as if it were complete.
         self.detach().close()
 
     def _heartbeat_s(self) -> float:
-        return self._requests.parts.settings.streams.heartbeat_ms / 1_000
+        return (
+            self._requests.dependencies.settings.streams.heartbeat_ms / 1_000
+        )
 
     def _reply_outcome(self, outcome: Outcome) -> None:
         if outcome.retry_after_ms is not None:
             seconds = math.ceil(outcome.retry_after_ms / 1_000)
             self.set_header("Retry-After", str(seconds))
-        self.reply(STATUS[outcome.outcome], msgspec.json.encode(outcome))
+        self.reply(
+            OUTCOME_STATUS[outcome.outcome], msgspec.json.encode(outcome)
+        )
 
     async def send(self, frame: bytes) -> None:
-        """Send one frame; the wait slows this caller's relay only."""
+        """Send one frame; a slow caller delays only its own stream.
+
+        Raises `StreamClosedError` when the connection is closed and
+        `TimeoutError` when the caller does not read.
+        """
         if self._closed:
             raise StreamClosedError
         self.write(frame)
@@ -215,23 +226,25 @@
         if flushed.done():
             flushed.result()  # raises StreamClosedError
             return
-        bound_s = self._requests.parts.settings.streams.abandon_ms / 1_000
-        async with asyncio.timeout(bound_s):
+        timeout_s = (
+            self._requests.dependencies.settings.streams.abandon_ms / 1_000
+        )
+        async with asyncio.timeout(timeout_s):
             await flushed
 
     def begin_stream(self) -> None:
-        """Set what a stream of events needs."""
+        """Set the headers of a server-sent event stream."""
         self.set_header("Content-Type", "text/event-stream")
         self.set_header("Cache-Control", "no-store")
         self.set_header(CLOCK_HEADER, self._timeline.stamp())
 
     def heartbeat_s(self) -> float:
-        """Return how long the stream may stay silent."""
+        """Return the interval after which an idle stream gets a heartbeat."""
         return self._heartbeat_s()
 
 
 class _Delivery:
-    """Write one execution to one caller, from an index on."""
+    """Write one execution to one caller, starting at an index."""
 
     def __init__(
         self, handler: RequestsHandler, execution: Execution, index: int
@@ -245,7 +258,7 @@
         self._timer: SilenceTimer | None = None
 
     async def run(self) -> None:
-        """Write frames until the outcome is told."""
+        """Write frames up to and including the outcome."""
         self._handler.begin_stream()
         self._timer = SilenceTimer(
             self._handler.heartbeat_s(), self._on_silence
@@ -259,19 +272,19 @@
         execution = self._execution
         execution.delivered = max(execution.delivered, self._index)
         while True:
-            news = execution.news
+            changed = execution.changed
             if self._heartbeat_is_due:
                 await self._send_frame(HEARTBEAT)
-            await self._write_heads()
+            await self._write_header_frames()
             await self._write_tokens()
-            if news is not execution.news:
+            if changed is not execution.changed:
                 continue
             if execution.outcome is not None:
                 await self._write_end(execution.outcome)
                 return
-            await news.wait()
+            await changed.wait()
 
-    async def _write_heads(self) -> None:
+    async def _write_header_frames(self) -> None:
         execution = self._execution
         if self._accepted is not execution.accepted and execution.accepted:
             self._accepted = execution.accepted
@@ -282,23 +295,24 @@
 
     async def _write_tokens(self) -> None:
         execution = self._execution
-        if execution.holds_back:
+        if execution.is_withheld:
             return
         frames = execution.answer.frames_from(self._index)
-        # One at a time: a caller that does not read holds one frame more.
-        for count, (after, data) in enumerate(frames, 1):
-            # Counted before it leaves: what may have left cannot be
-            # taken back.
-            execution.delivered = max(execution.delivered, after)
-            self._index = after
+        # Sent one at a time, so that a caller that does not read costs the
+        # memory of one frame only.
+        for count, (index_after, data) in enumerate(frames, 1):
+            # Counted before sending: tokens that may have reached a caller
+            # cannot be replaced by those of another generation.
+            execution.delivered = max(execution.delivered, index_after)
+            self._index = index_after
             await self._send_frame(encode_raw_event("token", data))
-            if count % FRAMES_IN_A_ROW == 0:
-                # A long answer read again must not hold up the others.
+            if count % FRAMES_PER_YIELD == 0:
+                # Replaying a long answer must not block the event loop.
                 await asyncio.sleep(0)
 
     async def _write_end(self, outcome: Outcome) -> None:
         await self._send("end", outcome)
-        # What is not yet sent would be cut off by a daemon that stops.
+        # Wait until all is sent: a daemon that stops closes the connection.
         await self._handler.finish()
 
     def _on_silence(self) -> None:
@@ -315,20 +329,24 @@
         await self._handler.send(frame)
 
 
-def _ended_at_once(execution: Execution) -> bool:
+def _ended_without_start(execution: Execution) -> bool:
     if execution.outcome is None or execution.start is not None:
         return False
-    return execution.outcome.outcome in STATUS
+    return execution.outcome.outcome in OUTCOME_STATUS
 
 
 def _check_index(execution: Execution, first_index: int) -> None:
-    dropped = execution.outcome if execution.answer_dropped else None
-    if dropped is None and execution.answer.first_index > 0:
-        return  # the home checks
-    end = dropped.tokens if dropped else execution.answer.next_index
+    dropped_outcome = execution.outcome if execution.answer_dropped else None
+    if dropped_outcome is None and execution.answer.first_index > 0:
+        return  # the home checks the index
+    end = (
+        dropped_outcome.tokens
+        if dropped_outcome
+        else execution.answer.next_index
+    )
     if first_index > end:
         raise IndexPastEndError(f"expected at most {end}")
-    # A service's result has no tokens: who asks for it has none of it.
+    # A service's result has no tokens, so index 0 never has all of it.
     has_all = first_index >= max(end, 1)
-    if dropped and dropped.outcome == WHOLE and not has_all:
+    if dropped_outcome and dropped_outcome.outcome == WHOLE and not has_all:
         raise AnswerExpiredError("the answer is no longer kept")
--- a/src/balsamlift/requests/_terms.py
+++ b/src/balsamlift/requests/_request_settings.py
@@ -1,4 +1,4 @@
-"""What the preset in force says of one request."""
+"""The settings of one request, derived from the preset in force."""
 
 from __future__ import annotations
 
@@ -15,65 +15,68 @@
     PresetInForce,
     WorkspacePreset,
 )
+from balsamlift.requests._dependencies import Dependencies
 from balsamlift.requests._errors import (
     KindUnknownError,
     TokenWrongError,
     WorkspaceUnknownError,
 )
 from balsamlift.requests._messages import RequestBody
-from balsamlift.requests._parts import Parts
 
 ANY_WORKSPACE = "*"
-CHARACTERS_PER_TOKEN = 4  # a rough guess where the caller gives no count
+CHARACTERS_PER_TOKEN = 4  # rough estimate, if the caller gives no count
 NO_PRESET_RETRY_MS = 1_000
 
 
 @attrs.frozen(kw_only=True)
-class Terms:
-    """Hold the terms of a request: those of its admission, to its end."""
+class RequestSettings:
+    """Hold the settings of a request, fixed from its admission to its end."""
 
     in_force: PresetInForce
     kind: KindPreset
-    model: str  # that the pool shall run; "" where the preset names none
+    model: str  # that the pool should run; "" if the preset names none
     weight: float  # of the workspace
     idempotent: bool
     on_services: bool
 
 
-def find_terms(parts: Parts, body: RequestBody) -> Terms:
-    """Return the terms that the preset in force sets.
+def resolve_settings(
+    dependencies: Dependencies, body: RequestBody
+) -> RequestSettings:
+    """Return the settings of a request from the preset in force.
 
     Raises `KindUnknownError` and `WorkspaceUnknownError`, and `RefusedError`
     while no preset is in force.
     """
-    in_force = parts.presets.in_force()
+    in_force = dependencies.presets.in_force()
     if in_force is None:
         raise RefusedError("no_preset", NO_PRESET_RETRY_MS)
     kind = in_force.preset.kinds.get(body.kind)
     if kind is None:
         raise KindUnknownError(f"no kind {body.kind!r}")
-    pool = parts.settings.pools.get(kind.pool)
+    pool = dependencies.settings.pools.get(kind.pool)
     if pool is None:
         raise KindUnknownError(f"kind {body.kind!r} has no pool here")
-    wanted = in_force.preset.pools.get(kind.pool)
-    return Terms(
+    pool_preset = in_force.preset.pools.get(kind.pool)
+    return RequestSettings(
         in_force=in_force,
         kind=kind,
-        model=wanted.model if wanted else "",
+        model=pool_preset.model if pool_preset else "",
         weight=_find_workspace(in_force.preset, body.workspace).weight,
-        # A caller may ask for more care than the preset, never for less.
+        # A caller may declare an idempotent kind non-idempotent, but not
+        # the reverse.
         idempotent=kind.idempotent and body.idempotent is not False,
         on_services=pool.kind == "service",
     )
 
 
-def authorize(parts: Parts, workspace: str, token: str) -> None:
-    """Check that the token is the workspace's.
+def authorize(dependencies: Dependencies, workspace: str, token: str) -> None:
+    """Check that the token belongs to the workspace.
 
-    Raises `WorkspaceUnknownError` and `TokenWrongError`. While no preset is
-    in force nothing is served, and nothing is checked.
+    Raises `WorkspaceUnknownError` and `TokenWrongError`. Checks nothing
+    while no preset is in force, as no request is served then.
     """
-    in_force = parts.presets.in_force()
+    in_force = dependencies.presets.in_force()
     if in_force is None:
         return
     preset = _find_workspace(in_force.preset, workspace)
@@ -84,31 +87,33 @@
         raise TokenWrongError("the token is not this workspace's")
 
 
-def to_ask(body: RequestBody, terms: Terms) -> PlacementRequest:
-    """Return what the request asks of placement."""
-    kind = terms.kind
-    guess = max(1, len(body.prompt) // CHARACTERS_PER_TOKEN)
-    ask = PlacementRequest(
+def to_placement_request(
+    body: RequestBody, request_settings: RequestSettings
+) -> PlacementRequest:
+    """Return the `PlacementRequest` for a request and its settings."""
+    kind = request_settings.kind
+    estimated_tokens = max(1, len(body.prompt) // CHARACTERS_PER_TOKEN)
+    placement_request = PlacementRequest(
         key=body.key,
         workspace=body.workspace,
         kind=body.kind,
         pool=kind.pool,
-        weight=terms.weight,
+        weight=request_settings.weight,
         priority=kind.priority,
-        prompt_tokens=body.prompt_tokens or guess,
+        prompt_tokens=body.prompt_tokens or estimated_tokens,
         prefix=body.prefix,
-        max_tokens=_at_most(body.max_tokens, kind.max_tokens),
+        max_tokens=_capped(body.max_tokens, kind.max_tokens),
         quantile=kind.quantile,
-        deadline_ms=_at_most(body.deadline_ms, kind.deadline_ms),
+        deadline_ms=_capped(body.deadline_ms, kind.deadline_ms),
     )
-    if terms.on_services:
-        # A call fills no engine's memory; it counts as one token.
-        return attrs.evolve(ask, prompt_tokens=0, max_tokens=1)
-    return ask
+    if request_settings.on_services:
+        # A service call uses no engine memory; it counts as one token.
+        return attrs.evolve(placement_request, prompt_tokens=0, max_tokens=1)
+    return placement_request
 
 
-def _at_most(wanted: int | None, bound: int) -> int:
-    return min(wanted or bound, bound)
+def _capped(requested: int | None, limit: int) -> int:
+    return min(requested or limit, limit)
 
 
 def _find_workspace(preset: Preset, name: str) -> WorkspacePreset:
--- a/src/balsamlift/streams/__init__.py
+++ b/src/balsamlift/streams/__init__.py
@@ -1,10 +1,10 @@
-"""Streams of tokens: their frames, the answer they make, their reading."""
+"""Token streams: frames, the answer they add up to, and the client."""
 
 from balsamlift.streams._answer import (
     Answer,
-    OtherGenerationError,
-    OtherTokensError,
+    GenerationMismatchError,
     TokenGapError,
+    TokenMismatchError,
 )
 from balsamlift.streams._frames import (
     FAILED,
@@ -29,7 +29,7 @@
     Stream,
     StreamClient,
     StreamError,
-    StreamSilentError,
+    StreamInterruptedError,
     StreamStatusError,
     StreamUnreachableError,
 )
@@ -48,17 +48,17 @@
     "EventTooLongError",
     "FrameError",
     "GenerationEnd",
-    "OtherGenerationError",
-    "OtherTokensError",
+    "GenerationMismatchError",
     "Outcome",
     "Start",
     "Stream",
     "StreamClient",
     "StreamError",
-    "StreamSilentError",
+    "StreamInterruptedError",
     "StreamStatusError",
     "StreamUnreachableError",
     "TokenGapError",
+    "TokenMismatchError",
     "Tokens",
     "encode_event",
     "encode_raw_event",
