--- a/src/balsamlift/__init__.py
+++ b/src/balsamlift/__init__.py
@@ -1,7 +1,7 @@
 """Serve generations of unknown length on crowded engines.
 
-Only what is light is imported here; the daemon is `balsamlift.daemon`, the
-caller's side `balsamlift.client`.
+Only modules that are cheap to import are imported here. The daemon is in
+`balsamlift.daemon`, the client library in `balsamlift.client`.
 """
 
 from balsamlift.clock import Clock, SystemClock
--- a/src/balsamlift/__main__.py
+++ b/src/balsamlift/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line by `python -m balsamlift`."""
+"""Run the command line with `python -m balsamlift`."""
 
 import sys
 
--- a/src/balsamlift/_address.py
+++ b/src/balsamlift/_address.py
@@ -1,4 +1,4 @@
-"""Addresses: an IP number and a port."""
+"""Parse and format addresses of an IP address and a port."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class AddressError(BalsamliftError):
-    """Tell that a text is no "IP:port"."""
+    """Raised when a text is not "IP:port"."""
 
     def __init__(self, text: str) -> None:
-        """Keep the text."""
+        """Store the invalid text in the message."""
         super().__init__(f"{text!r} is not an IP number and a port")
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Return the IP number and the port of "IP:port" or "[IPv6]:port"."""
+    """Return the IP address and the port of "IP:port" or "[IPv6]:port"."""
     ip, _, port = text.rpartition(":")
     ip = ip.removeprefix("[").removesuffix("]")
     try:
--- a/src/balsamlift/_commands/__init__.py
+++ b/src/balsamlift/_commands/__init__.py
@@ -1,1 +1,1 @@
-"""The subcommands of the command line, one module each."""
+"""The subcommands of the command line, one module per subcommand."""
--- a/src/balsamlift/_commands/_arguments.py
+++ b/src/balsamlift/_commands/_arguments.py
@@ -1,4 +1,4 @@
-"""Arguments of a command, parsed by docopt and read by type."""
+"""Command-line arguments, parsed by docopt, with typed accessors."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 class Arguments:
-    """Read the arguments that a usage text describes."""
+    """Give typed access to the arguments that a usage text describes."""
 
     def __init__(self, usage: str, argv: Sequence[str]) -> None:
-        """Parse `argv`; raise docopt's `DocoptExit` when it does not fit."""
+        """Parse `argv`; raise docopt's `DocoptExit` if it does not match."""
         self._values: dict[str, Any] = docopt(usage, list(argv))
 
     def flag(self, name: str) -> bool:
-        """Tell whether an option or a subcommand was given."""
+        """Return whether an option or a subcommand was given."""
         return bool(self._values[name])
 
     def text(self, name: str) -> str:
-        """Return a text; empty when it was not given."""
+        """Return a text argument, or an empty text if it was not given."""
         return str(self._values[name] or "")
 
     def texts(self, name: str) -> list[str]:
-        """Return a repeatable argument."""
+        """Return all values of a repeatable argument."""
         return [str(value) for value in self._values[name]]
 
     def number(self, name: str) -> int | None:
-        """Return a whole number that is not negative, None when absent.
+        """Return a non-negative integer, or None if it was not given.
 
         Raises `UsageError`.
         """
@@ -43,14 +43,14 @@
         return int(value)
 
     def address(self, name: str) -> str:
-        """Return one "IP:port"; raise `AddressError`."""
-        return _checked_address(self.text(name))
+        """Return an "IP:port" argument; raise `AddressError`."""
+        return _normalize_address(self.text(name))
 
     def addresses(self, name: str) -> list[str]:
         """Return each "IP:port" once, in order; raise `AddressError`."""
-        checked = [_checked_address(text) for text in self.texts(name)]
-        return list(dict.fromkeys(checked))
+        normalized = [_normalize_address(text) for text in self.texts(name)]
+        return list(dict.fromkeys(normalized))
 
 
-def _checked_address(text: str) -> str:
+def _normalize_address(text: str) -> str:
     return join_address(*split_address(text))
--- a/src/balsamlift/_commands/_exit.py
+++ b/src/balsamlift/_commands/_exit.py
@@ -1,4 +1,4 @@
-"""The exit codes that scripts rely on."""
+"""Exit codes of all commands; scripts rely on them."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class ExitCode(IntEnum):
-    """Tell how a command ended."""
+    """Enumerate the ways in which a command can end."""
 
     DONE = 0
-    FAILED = 1  # the system failed, refused or answered in part
+    FAILED = 1  # failed, refused, or only some hosts answered
     USAGE = 2  # wrong arguments, settings or preset
     UNKNOWN = 3  # it may or may not have taken effect
     SUPERSEDED = 4  # another operator came first
--- a/src/balsamlift/_commands/_hosts.py
+++ b/src/balsamlift/_commands/_hosts.py
@@ -1,4 +1,4 @@
-"""Show the entry hosts."""
+"""The command `hosts`: show the entry hosts."""
 
 from __future__ import annotations
 
@@ -30,6 +30,6 @@
 
 
 def run(argv: Sequence[str]) -> ExitCode:
-    """Run the command."""
+    """Run `balsamlift hosts` and return its exit code."""
     arguments = Arguments(USAGE, argv)
     return show_view(arguments, "/v1/hosts", COLUMNS)
--- a/src/balsamlift/_commands/_logs.py
+++ b/src/balsamlift/_commands/_logs.py
@@ -1,4 +1,4 @@
-"""Show the log lines of all hosts in one order, out of files."""
+"""The command `logs`: merge the log files of hosts and filter their lines."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @attrs.frozen(kw_only=True)
 class Filter:
-    """Hold which lines to show; empty texts let all pass."""
+    """Select the lines to show; an empty field matches all lines."""
 
     request: str
     upstream: str
@@ -56,24 +56,24 @@
     start: str
     end: str
 
-    def passes(self, line: DetailedLogLine) -> bool:
-        """Tell whether to show a line."""
+    def matches(self, line: DetailedLogLine) -> bool:
+        """Return whether a line matches all fields."""
         if self.request and line.details.get("request") != self.request:
             return False
-        if self.upstream and not _names(line, self.upstream):
+        if self.upstream and not _mentions(line, self.upstream):
             return False
         if self.host and line.host != self.host:
             return False
         if self.part and line.part != self.part:
             return False
-        is_late = bool(self.end) and line.time >= self.end
-        return line.time >= self.start and not is_late
+        is_after_end = bool(self.end) and line.time >= self.end
+        return line.time >= self.start and not is_after_end
 
 
 def run(argv: Sequence[str]) -> ExitCode:
-    """Run the command."""
+    """Run `balsamlift logs` and return its exit code."""
     arguments = Arguments(USAGE, argv)
-    wanted = Filter(
+    selection = Filter(
         request=arguments.text("--request"),
         upstream=arguments.text("--upstream"),
         host=arguments.text("--host"),
@@ -85,7 +85,7 @@
         line
         for name in arguments.texts("FILE")
         for line in _parse(_read(name), name)
-        if wanted.passes(line)
+        if selection.matches(line)
     ]
     lines.sort(key=lambda line: line.time)
     if arguments.flag("--json"):
@@ -105,7 +105,7 @@
 
 
 def _parse(texts: Iterable[str], name: str) -> Iterator[DetailedLogLine]:
-    """Yield the log lines among other lines."""
+    """Yield the JSON log lines in `texts`, skipping other text."""
     skipped = 0
     for text in texts:
         start = text.find("{")
@@ -119,7 +119,7 @@
         print_note(f"{name}: {skipped} lines are no log lines")
 
 
-def _names(line: DetailedLogLine, upstream: str) -> bool:
+def _mentions(line: DetailedLogLine, upstream: str) -> bool:
     return upstream in line.message or upstream in map(
         str, line.details.values()
     )
--- a/src/balsamlift/_commands/_metrics.py
+++ b/src/balsamlift/_commands/_metrics.py
@@ -1,4 +1,4 @@
-"""Show the measurements of all hosts together."""
+"""The command `metrics`: show the merged metrics of all hosts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from balsamlift._commands._arguments import Arguments
 from balsamlift._commands._exit import ExitCode
 from balsamlift._commands._output import print_json, print_table
-from balsamlift._commands._reading import exit_code, read_everywhere
+from balsamlift._commands._reading import read_from_hosts, report_unanswered
 from balsamlift.metrics import Snapshot, Summary, merge_snapshots
 
 USAGE = """Show counters, gauges and times, added up over all hosts.
@@ -38,10 +38,10 @@
 
 
 def run(argv: Sequence[str]) -> ExitCode:
-    """Run the command."""
+    """Run `balsamlift metrics` and return its exit code."""
     arguments = Arguments(USAGE, argv)
     readings = asyncio.run(
-        read_everywhere(
+        read_from_hosts(
             arguments.addresses("--at"),
             "/v1/metrics",
             Snapshot,
@@ -53,7 +53,7 @@
         print_json({"summary": summary, "unanswered": readings.unanswered})
     else:
         _print_summary(summary, len(readings.answers))
-    return exit_code(readings)
+    return report_unanswered(readings)
 
 
 def _print_summary(summary: Summary, hosts: int) -> None:
@@ -67,8 +67,8 @@
     print()
     print_table(
         [
-            {"gauge": name, **attrs.asdict(spread)}
-            for name, spread in sorted(summary.gauges.items())
+            {"gauge": name, **attrs.asdict(gauge_summary)}
+            for name, gauge_summary in sorted(summary.gauges.items())
         ]
     )
     print()
--- a/src/balsamlift/_commands/_output.py
+++ b/src/balsamlift/_commands/_output.py
@@ -8,24 +8,24 @@
 
 import msgspec
 
-# A row of a table that a host shows: whatever fields it has.
+# A row of a table that a host returns, with any fields.
 Row = Mapping[str, Any]
 
 
 def print_json(value: object) -> None:
-    """Print a value as one JSON text, on a line of its own."""
+    """Print a value as a single line of JSON."""
     print(msgspec.json.encode(value).decode())
 
 
 def print_note(text: str) -> None:
-    """Print a remark for people beside the result."""
+    """Print a message for people on standard error."""
     print(f"balsamlift: {text}", file=sys.stderr)
 
 
 def print_table(rows: Sequence[Row], columns: Iterable[str] = ()) -> None:
-    """Print rows in columns of even width.
+    """Print rows as a table with aligned columns.
 
-    The columns named come first, then all others that the rows have.
+    The given columns come first, then all other fields of the rows.
     """
     if not rows:
         print("(none)")
@@ -44,7 +44,10 @@
 
 
 def _cell(value: object) -> str:
-    """Return one cell; control characters must not reach a terminal."""
+    """Return the text of a cell, with control characters replaced.
+
+    Control characters must not reach a terminal.
+    """
     if value is None or value == "":
         return "-"
     if isinstance(value, bool):
@@ -54,5 +57,5 @@
     if isinstance(value, float):
         return f"{value:g}"
     text = value if isinstance(value, str) else msgspec.json.encode(value)
-    shown = text.decode() if isinstance(text, bytes) else text
-    return "".join(c if c.isprintable() else "?" for c in shown)
+    decoded = text.decode() if isinstance(text, bytes) else text
+    return "".join(c if c.isprintable() else "?" for c in decoded)
--- a/src/balsamlift/_commands/_preset.py
+++ b/src/balsamlift/_commands/_preset.py
@@ -1,4 +1,4 @@
-"""Check, publish and switch presets, and look at them."""
+"""The command `preset`: check, publish, switch and show presets."""
 
 from __future__ import annotations
 
@@ -68,13 +68,13 @@
 `history`; 4 another operator came first, look at `history` and decide anew.
 """
 
-_CODES = {
+_EXIT_CODES = {
     "accepted": ExitCode.DONE,
     "invalid": ExitCode.FAILED,
     "unknown": ExitCode.UNKNOWN,
     "superseded": ExitCode.SUPERSEDED,
 }
-_MEANINGS = {
+_STATE_TEXTS = {
     "accepted": "accepted",
     "invalid": "void: the log's readers do not accept it",
     "unknown": "not known: the log gave no answer, it may have taken effect",
@@ -84,15 +84,15 @@
 
 @attrs.frozen
 class Report:
-    """Tell what became of a publication or a switch."""
+    """Hold the result of publishing or switching a preset."""
 
     name: str
     state: str
-    generation: int | None  # in force just after it, where known
+    generation: int | None  # in force right after the operation, if known
 
 
 def run(argv: Sequence[str]) -> ExitCode:
-    """Run the command."""
+    """Run `balsamlift preset` and return its exit code."""
     arguments = Arguments(USAGE, argv)
     if arguments.flag("check"):
         return _check(arguments)
@@ -129,7 +129,7 @@
 def _publish(arguments: Arguments) -> ExitCode:
     preset = _load_preset(arguments, arguments.texts("PRESET")[0])
     operator = Operator(arguments.address("--log"))
-    result = _wait_for(operator.publish(preset))
+    result = _run_operation(operator.publish(preset))
     return _report(
         arguments, Report(preset.name, result.state, result.generation)
     )
@@ -138,14 +138,18 @@
 def _switch(arguments: Arguments) -> ExitCode:
     name = arguments.text("NAME")
     operator = Operator(arguments.address("--log"))
-    result = _wait_for(operator.switch(name, arguments.number("--expect")))
+    result = _run_operation(
+        operator.switch(name, arguments.number("--expect"))
+    )
     return _report(arguments, Report(name, result.state, result.generation))
 
 
-def _wait_for(
+def _run_operation(
     operation: Coroutine[Any, Any, OperationResult],
 ) -> OperationResult:
-    """Return the result; once begun, an operation may have an effect.
+    """Run an operation and return its result.
+
+    Once it has begun, an operation may take effect even if interrupted.
 
     Raises `InterruptedUnknownError`.
     """
@@ -159,7 +163,7 @@
     if arguments.flag("--json"):
         print_json(report)
     else:
-        print(f"preset {report.name}: {_MEANINGS[report.state]}")
+        print(f"preset {report.name}: {_STATE_TEXTS[report.state]}")
         if report.generation is not None:
             print(f"generation in force: {report.generation}")
-    return _CODES[report.state]
+    return _EXIT_CODES[report.state]
--- a/src/balsamlift/_commands/_preset_views.py
+++ b/src/balsamlift/_commands/_preset_views.py
@@ -1,4 +1,4 @@
-"""Show the presets that hosts know: list, show and history."""
+"""The commands `preset list`, `preset show` and `preset history`."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from balsamlift._commands._output import print_json
 from balsamlift._commands._reading import (
     Readings,
-    exit_code,
-    read_everywhere,
+    read_from_hosts,
+    report_unanswered,
 )
 from balsamlift._commands._views import merge_views, print_views
 from balsamlift.exceptions import PresetMissingError
@@ -26,27 +26,27 @@
 
 @attrs.frozen
 class ListedPreset:
-    """Show one published preset without its content."""
+    """Hold a row of `preset list`: a published preset without its content."""
 
     name: str
     version: int
     offset: int
-    in_force: bool  # whether this name is; an older version may be
-    generation: int | None  # where it is in force
+    in_force: bool  # by name; the version in force may be an older one
+    generation: int | None  # None unless in force
 
 
 @attrs.frozen
 class ShownPreset:
-    """Show one preset with its content, and which hosts show it."""
+    """Hold a preset with its content and the hosts that returned it."""
 
     preset: Preset
     seen_by: list[str]
 
 
 def show_list(arguments: Arguments) -> ExitCode:
-    """Print the presets known, and which one is in force."""
+    """Print the known presets and which one is in force."""
     readings = _read(arguments)
-    rows = _merge({a: _listed(v) for a, v in readings.answers.items()})
+    rows = _merge({a: _list_presets(v) for a, v in readings.answers.items()})
     return print_views(arguments, readings, rows, ["name", "version"])
 
 
@@ -59,24 +59,24 @@
 
 
 def show_preset(arguments: Arguments) -> ExitCode:
-    """Print one preset whole, by default the one in force."""
+    """Print one preset with its content, by default the one in force."""
     readings = _read(arguments)
-    shown = _shown(readings.answers, arguments.text("NAME"))
+    shown = _distinct_contents(readings.answers, arguments.text("NAME"))
     if not shown:
         raise PresetMissingError(arguments.text("NAME"))
     if arguments.flag("--json"):
         print_json({"presets": shown, "unanswered": readings.unanswered})
-        return exit_code(readings)
+        return report_unanswered(readings)
     for one in shown:
         print(f"// as shown by {', '.join(one.seen_by)}")
         encoded = msgspec.json.encode(one.preset)
         print(msgspec.json.format(encoded).decode())
-    return exit_code(readings)
+    return report_unanswered(readings)
 
 
 def _read(arguments: Arguments) -> Readings[PresetsView]:
     return asyncio.run(
-        read_everywhere(
+        read_from_hosts(
             arguments.addresses("--at"),
             "/v1/presets",
             PresetsView,
@@ -94,7 +94,7 @@
     )
 
 
-def _listed(view: PresetsView) -> list[ListedPreset]:
+def _list_presets(view: PresetsView) -> list[ListedPreset]:
     return [
         ListedPreset(
             name=one.name,
@@ -107,18 +107,20 @@
     ]
 
 
-def _shown(views: dict[str, PresetsView], name: str) -> list[ShownPreset]:
-    """Return each distinct content of the preset once."""
+def _distinct_contents(
+    views: dict[str, PresetsView], name: str
+) -> list[ShownPreset]:
+    """Return each distinct content of the preset once, with its hosts."""
     shown: list[ShownPreset] = []
     for address, view in views.items():
         preset = _find(view, name)
         if preset is None:
             continue
-        same = next((one for one in shown if one.preset == preset), None)
-        if same is None:
+        known = next((one for one in shown if one.preset == preset), None)
+        if known is None:
             shown.append(ShownPreset(preset, [address]))
         else:
-            same.seen_by.append(address)
+            known.seen_by.append(address)
     return shown
 
 
--- a/src/balsamlift/_commands/_reading.py
+++ b/src/balsamlift/_commands/_reading.py
@@ -1,4 +1,4 @@
-"""Read what hosts show at their operators' addresses."""
+"""Read data from the operators' addresses of several hosts."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 
 @attrs.frozen
 class ListedHost:
-    """Hold what is needed of a host to read from it as well."""
+    """Hold the only field of a host that is needed to read from it."""
 
     operators_address: str = ""
 
 
 @attrs.frozen
 class Readings(Generic[T]):
-    """Hold the hosts' answers by address, and who gave none."""
+    """Hold the hosts' answers and the reasons of failures, by address."""
 
     answers: dict[str, T]
-    unanswered: dict[str, str]  # address -> why
+    unanswered: dict[str, str]  # address -> reason
 
 
 class HostReader:
     """Read the same path from several hosts at once."""
 
     def __init__(self, http: HttpClient) -> None:
-        """Make the calls with `http`."""
+        """Store the HTTP client to use."""
         self._http = http
 
     async def read(
@@ -50,11 +50,14 @@
         kind: type[T],
         query: dict[str, str] | None = None,
     ) -> T:
-        """Return one host's answer; raise `HostReadError`."""
-        arguments = {
+        """Return one host's answer, decoded as `kind`.
+
+        Raises `HostReadError`.
+        """
+        parameters = {
             name: text for name, text in (query or {}).items() if text
         }
-        suffix = f"?{urlencode(arguments)}" if arguments else ""
+        suffix = f"?{urlencode(parameters)}" if parameters else ""
         try:
             answer = await self._http.call(
                 "GET", f"http://{address}{path}{suffix}", timeout_ms=TIMEOUT_MS
@@ -75,9 +78,9 @@
         kind: type[T],
         query: dict[str, str] | None = None,
     ) -> Readings[T]:
-        """Return what each host answered.
+        """Return the answers of all hosts, queried concurrently.
 
-        Raises `HostReadError` when not one did.
+        Raises `HostReadError` if none of them answered.
         """
         results = await asyncio.gather(
             *(self.read(address, path, kind, query) for address in addresses),
@@ -98,7 +101,7 @@
         return readings
 
     async def find_hosts(self, address: str) -> list[str]:
-        """Return the operators' addresses of all hosts that one knows."""
+        """Return the operators' addresses of all hosts that a host knows."""
         hosts = await self.read(address, "/v1/hosts", list[ListedHost])
         known = [host.operators_address for host in hosts]
         return list(dict.fromkeys([address, *filter(None, known)]))
@@ -107,13 +110,13 @@
 async def read_rows(
     addresses: Sequence[str], path: str
 ) -> Readings[list[dict[str, Any]]]:
-    """Return the table that each host shows at `path`."""
-    return await read_everywhere(
+    """Return the table that each host serves at `path`."""
+    return await read_from_hosts(
         addresses, path, list[dict[str, Any]], alone=True
     )
 
 
-async def read_everywhere(
+async def read_from_hosts(
     addresses: Sequence[str],
     path: str,
     kind: type[T],
@@ -121,10 +124,10 @@
     *,
     alone: bool = False,
 ) -> Readings[T]:
-    """Return what each host answered.
+    """Return the answer of each host.
 
-    One address alone also stands for all hosts that it knows, unless
-    `alone`.
+    A single address is expanded to all hosts that its host knows, unless
+    `alone` is set.
     """
     http = HttpClient()
     reader = HostReader(http)
@@ -136,8 +139,8 @@
         http.close()
 
 
-def exit_code(readings: Readings[T]) -> ExitCode:
-    """Name those who gave no answer, and return the code that tells so."""
-    for address, why in readings.unanswered.items():
-        print_note(f"host at {address}: {why}; it is left out")
+def report_unanswered(readings: Readings[T]) -> ExitCode:
+    """Print a note per host without an answer and return the exit code."""
+    for address, reason in readings.unanswered.items():
+        print_note(f"host at {address}: {reason}; it is left out")
     return ExitCode.FAILED if readings.unanswered else ExitCode.DONE
--- a/src/balsamlift/_commands/_request.py
+++ b/src/balsamlift/_commands/_request.py
@@ -1,4 +1,4 @@
-"""Send one request and print its answer."""
+"""The command `request`: send one request and print its answer."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 failed on the way; 2 wrong usage; 3 not known: it may have run.
 """
 
-_CODES = {
+_EXIT_CODES = {
     WHOLE: ExitCode.DONE,
     REFUSED: ExitCode.FAILED,
     FAILED: ExitCode.FAILED,
@@ -63,38 +63,41 @@
 
 
 @attrs.frozen
-class Printed:
-    """Hold the whole answer in its JSON form."""
+class JsonAnswer:
+    """Hold the answer as it is printed with `--json`."""
 
     text: str
     outcome: Outcome
 
 
 def run(argv: Sequence[str]) -> ExitCode:
-    """Run the command."""
+    """Run `balsamlift request` and return its exit code."""
     arguments = Arguments(USAGE, argv)
     as_json = arguments.flag("--json")
     tokens: list[str] = []
 
-    def take(added: list[str]) -> None:
+    def handle_tokens(added: list[str]) -> None:
         tokens.extend(added)
         if not as_json:
             print(_printable("".join(added)), end="", flush=True)
 
-    outcome = _send(arguments, take)
+    outcome = _send(arguments, handle_tokens)
     if as_json:
-        print_json(Printed("".join(tokens), outcome))
+        print_json(JsonAnswer("".join(tokens), outcome))
     else:
         _print_outcome(outcome, bool(tokens))
-    return _CODES[outcome.outcome]
+    return _EXIT_CODES[outcome.outcome]
 
 
-def _send(arguments: Arguments, take: OnTokens) -> Outcome:
-    sending = _run_request(
-        arguments.addresses("--at"), arguments, _request(arguments), take
+def _send(arguments: Arguments, handle_tokens: OnTokens) -> Outcome:
+    running_request = _run_request(
+        arguments.addresses("--at"),
+        arguments,
+        _request(arguments),
+        handle_tokens,
     )
     try:
-        return asyncio.run(sending)
+        return asyncio.run(running_request)
     except KeyboardInterrupt as error:
         raise InterruptedUnknownError from error
 
@@ -103,9 +106,9 @@
     addresses: list[str],
     arguments: Arguments,
     request: Request,
-    take: OnTokens,
+    handle_tokens: OnTokens,
 ) -> Outcome:
-    # Made while the event loop runs: the client binds itself to it.
+    # Created inside the running event loop, as the client binds itself to it.
     token_file = arguments.text("--token-file")
     client = Client(
         addresses,
@@ -115,7 +118,7 @@
     )
     attempts = arguments.number("--attempts") or 1
     try:
-        return await client.run(request, take, attempts=attempts)
+        return await client.run(request, handle_tokens, attempts=attempts)
     finally:
         client.close()
 
@@ -152,12 +155,15 @@
 
 
 def _printable(text: str) -> str:
-    """Keep control characters other than line ends from a terminal."""
+    """Replace control characters other than tabs and line ends.
+
+    They must not reach a terminal.
+    """
     return "".join(c if c.isprintable() or c in "\n\t" else "?" for c in text)
 
 
-def _print_outcome(outcome: Outcome, tokens_came: bool) -> None:
-    if tokens_came:
+def _print_outcome(outcome: Outcome, has_tokens: bool) -> None:
+    if has_tokens:
         print()
     if outcome.result is not None:
         print_json(outcome.result)
--- a/src/balsamlift/_commands/_serve.py
+++ b/src/balsamlift/_commands/_serve.py
@@ -1,4 +1,4 @@
-"""Serve as one entry host."""
+"""The command `serve`: run one entry host."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def run(argv: Sequence[str]) -> ExitCode:
-    """Run the command."""
+    """Run `balsamlift serve` and return its exit code."""
     arguments = Arguments(USAGE, argv)
     settings = load(arguments.text("SETTINGS"), Settings)
     if arguments.flag("--check"):
@@ -49,7 +49,7 @@
 
 
 def _run_daemon(settings: Settings) -> None:
-    # Imported here: a check of a file needs nothing of the daemon.
+    # Imported here, as checking a settings file does not need the daemon.
     from balsamlift import daemon
 
     daemon.run(settings)
--- a/src/balsamlift/_commands/_timeline.py
+++ b/src/balsamlift/_commands/_timeline.py
@@ -1,4 +1,4 @@
-"""Show one time line of events over all hosts."""
+"""The command `timeline`: show the merged events of all hosts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from balsamlift._commands._arguments import Arguments
 from balsamlift._commands._exit import ExitCode
 from balsamlift._commands._output import print_json, print_table
-from balsamlift._commands._reading import exit_code, read_everywhere
+from balsamlift._commands._reading import read_from_hosts, report_unanswered
 from balsamlift.exceptions import StampError, UsageError
 from balsamlift.timeline import Event, merge, parse_stamp
 
@@ -42,7 +42,7 @@
 
 
 def run(argv: Sequence[str]) -> ExitCode:
-    """Run the command."""
+    """Run `balsamlift timeline` and return its exit code."""
     arguments = Arguments(USAGE, argv)
     since = arguments.text("--since")
     if since:
@@ -53,7 +53,7 @@
         "since": since,
     }
     readings = asyncio.run(
-        read_everywhere(
+        read_from_hosts(
             arguments.addresses("--at"),
             "/v1/timeline",
             list[Event],
@@ -71,7 +71,7 @@
         print_json({"events": events, "unanswered": readings.unanswered})
     else:
         print_table([_row(event) for event in events], _COLUMNS)
-    return exit_code(readings)
+    return report_unanswered(readings)
 
 
 def _check_stamp(text: str) -> None:
--- a/src/balsamlift/_commands/_views.py
+++ b/src/balsamlift/_commands/_views.py
@@ -1,4 +1,4 @@
-"""Show a table of hosts or upstreams as one or several hosts see it."""
+"""Merge and print the tables that one or several hosts serve."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from balsamlift._commands._output import print_json, print_table
 from balsamlift._commands._reading import (
     Readings,
-    exit_code,
     read_rows,
+    report_unanswered,
 )
 
 T = TypeVar("T")
@@ -23,7 +23,7 @@
 
 
 def show_view(arguments: Arguments, path: str, columns: list[str]) -> ExitCode:
-    """Print the table at `path` of every host asked."""
+    """Print the merged tables that the hosts serve at `path`."""
     readings = asyncio.run(read_rows(arguments.addresses("--at"), path))
     rows = merge_views(readings.answers)
     return print_views(arguments, readings, rows, columns)
@@ -35,14 +35,14 @@
     rows: list[dict[str, Any]],
     columns: list[str],
 ) -> ExitCode:
-    """Print merged rows; who shows them only where several were asked."""
+    """Print merged rows; with several hosts, also which of them show a row."""
     if arguments.flag("--json"):
         print_json({"rows": rows, "unanswered": readings.unanswered})
     elif len(arguments.addresses("--at")) > 1:
         print_table(rows, [*columns, SEEN_BY])
     else:
-        print_table([_without_witnesses(row) for row in rows], columns)
-    return exit_code(readings)
+        print_table([_without_seen_by(row) for row in rows], columns)
+    return report_unanswered(readings)
 
 
 def merge_views(
@@ -50,16 +50,16 @@
 ) -> list[dict[str, Any]]:
     """Return each distinct row once, with the addresses that show it.
 
-    Hosts may differ for a moment: rows that differ stay apart.
+    Hosts may differ for a while; rows that differ are kept separate.
     """
     merged: dict[bytes, dict[str, Any]] = {}
     for address, rows in views.items():
         for row in rows:
             content = msgspec.json.encode(row, order="sorted")
-            seen = merged.setdefault(content, {**row, SEEN_BY: []})
-            seen[SEEN_BY].append(address)
+            merged_row = merged.setdefault(content, {**row, SEEN_BY: []})
+            merged_row[SEEN_BY].append(address)
     return list(merged.values())
 
 
-def _without_witnesses(row: dict[str, Any]) -> dict[str, Any]:
+def _without_seen_by(row: dict[str, Any]) -> dict[str, Any]:
     return {name: value for name, value in row.items() if name != SEEN_BY}
--- a/src/balsamlift/_http.py
+++ b/src/balsamlift/_http.py
@@ -1,4 +1,4 @@
-"""One HTTP client for every part, on tornado's curl client."""
+"""HTTP client of all packages, based on tornado's curl client."""
 
 from __future__ import annotations
 
@@ -19,23 +19,24 @@
 T = TypeVar("T")
 
 CLOCK_HEADER = "X-Balsamlift-Clock"
-# Each takes 4.3 KB from the start: tornado makes all handles at once.
+# Each handle takes 4.3 KB from the start, as tornado creates all at once.
 MAX_CLIENTS = 512
 _NOT_SENT = frozenset(
     {pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST}
 )
-# Limits an answer that does not stall, on top of the first-byte timeout.
+# Bounds the total time of an answer that does not stall, on top of the
+# first-byte timeout.
 MAX_READ_S = 60.0
 
 
 class CallError(BalsamliftError):
-    """Tell that a call got no answer.
+    """Raised when a call got no answer.
 
-    `sent` is false only when certainly no byte of it left.
+    `sent` is false only when it is certain that no byte was sent.
     """
 
     def __init__(self, url: str, message: str, *, sent: bool) -> None:
-        """Keep the address called and whether bytes may have left."""
+        """Store the URL, the cause and whether bytes may have been sent."""
         super().__init__(f"{url}: {message}")
         self.url = url
         self.reason = message
@@ -44,14 +45,14 @@
 
 @attrs.frozen
 class Answer:
-    """Hold the answer to one call."""
+    """Hold the status, headers and body of an answer."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def decode(self, kind: type[T]) -> T:
-        """Return the JSON body as a `kind`; raise `msgspec` errors."""
+        """Return the JSON body decoded as `kind`; raise `msgspec` errors."""
         return msgspec.json.decode(self.body, type=kind)
 
 
@@ -64,7 +65,7 @@
 
 
 class HttpClient:
-    """Make calls, each with its own bound on silence."""
+    """Make HTTP calls, each with its own timeouts."""
 
     def __init__(
         self,
@@ -73,9 +74,9 @@
         most_calls: int = MAX_CLIENTS,
         clock: Clock | None = None,
     ) -> None:
-        """Stamp each call and observe each answer's stamp.
+        """Send `stamp()` with each call, pass an answer's stamp to `observe`.
 
-        Of more than `most_calls` at once, some wait.
+        Calls beyond `most_calls` at once wait in a queue.
         """
         self._client = CurlAsyncHTTPClient(
             force_instance=True, max_clients=most_calls
@@ -97,12 +98,12 @@
     ) -> Answer:
         """Make one call and return its answer, whatever the status.
 
-        `body` is encoded as JSON unless it is bytes. With `fresh` no open
-        connection is used again. Raises `CallError`.
+        `body` is encoded as JSON unless it is bytes. With `fresh` the
+        call uses a new connection. Raises `CallError`.
         """
         request = self._build_request(method, url, body, connect_ms, headers)
         request.request_timeout = timeout_ms / 1_000
-        request.prepare_curl_callback = _use_fresh if fresh else None
+        request.prepare_curl_callback = _use_new_connection if fresh else None
         response = await self._fetch(request)
         return Answer(
             response.code, dict(response.headers), response.body or b""
@@ -118,7 +119,7 @@
         fresh: bool = False,
         on_chunk: Callable[[bytes], None] | None = None,
     ) -> Answer:
-        """Make a GET call and return its answer, which may be of any size.
+        """Make a GET call whose answer may be of any size, and return it.
 
         Calls `on_chunk` with each chunk of the body as it arrives.
         `limits` bounds its pauses and its rate, `MAX_READ_S` its total time.
@@ -135,7 +136,7 @@
         def prepare(curl: Any) -> None:
             transfer.attach(curl)
             if fresh:
-                _use_fresh(curl)
+                _use_new_connection(curl)
 
         request = self._build_request("GET", url, None, connect_ms, headers)
         request.request_timeout = MAX_READ_S + limits.first_byte_ms / 1_000
@@ -213,7 +214,7 @@
         fetch.exception()
 
 
-def _use_fresh(curl: Any) -> None:
+def _use_new_connection(curl: Any) -> None:
     curl.setopt(pycurl.FRESH_CONNECT, 1)
     curl.setopt(pycurl.FORBID_REUSE, 1)
 
--- a/src/balsamlift/_incarnation.py
+++ b/src/balsamlift/_incarnation.py
@@ -1,4 +1,4 @@
-"""Names of single runs of a daemon."""
+"""Identifiers of single runs of a daemon."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def new_incarnation() -> str:
-    """Draw the name of one run of a daemon."""
+    """Return a random identifier for one run of a daemon."""
     return secrets.token_hex(_INCARNATION_BYTES)
--- a/src/balsamlift/_loading.py
+++ b/src/balsamlift/_loading.py
@@ -1,4 +1,4 @@
-"""Load settings and presets: JSON with comments into attrs classes."""
+"""Load settings and presets from JSON with comments into attrs classes."""
 
 from __future__ import annotations
 
@@ -28,62 +28,64 @@
 _Hook = Callable[[Any, Any], Any]
 
 _ATTRS_MESSAGE = re.compile(r"'(?P<name>\w+)' (?P<rule>must .*)", re.DOTALL)
-_WHOLE = "(whole)"
+_ROOT_PATH = "(whole)"
 _UNITS = ("ms", "s", "bytes", "ratio", "per_s")
 
 
 def load(file: str | Path, cls: type[T]) -> T:
-    """Return the `cls` that a file of JSON with comments describes.
+    """Return an instance of `cls` read from a file of JSON with comments.
 
-    Raises `SettingsError` for the first thing that is wrong.
+    Raises `SettingsError` for the first error.
     """
     name = str(file)
     try:
         text = Path(file).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise SettingsError(name, _WHOLE, f"a text file ({error})") from error
+        raise SettingsError(
+            name, _ROOT_PATH, f"a text file ({error})"
+        ) from error
     try:
         value = json5.loads(text, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as error:
         raise SettingsError(
-            name, _WHOLE, f"JSON with comments ({error})"
+            name, _ROOT_PATH, f"JSON with comments ({error})"
         ) from error
     return structure(value, cls, name)
 
 
 def structure(obj: object, cls: type[T], file: str = "") -> T:
-    """Return the `cls` that plain data describes, strictly.
+    """Return an instance of `cls` built from plain data, without coercion.
 
-    Raises `SettingsError` for the first thing that is wrong: its `path`
-    names the field, such as `pools.drafting.kind`.
+    Raises `SettingsError` for the first error; its `path` names the field,
+    such as `pools.drafting.kind`.
     """
     try:
         return _CONVERTER.structure(obj, cls)
     except (BaseValidationError, FieldError) as error:
-        path, expected = _explain(error)
+        path, expected = _describe_error(error)
         raise SettingsError(
-            file or cls.__name__, ".".join(path) or _WHOLE, expected
+            file or cls.__name__, ".".join(path) or _ROOT_PATH, expected
         ) from error
 
 
-def _explain(error: BaseException) -> tuple[list[str], str]:
-    """Return the path to the first fault and what was expected there."""
+def _describe_error(error: BaseException) -> tuple[list[str], str]:
+    """Return the path of the first invalid field and the expected value."""
     if isinstance(error, BaseValidationError):
-        inner = _first(error.exceptions)
-        path, expected = _explain(inner)
-        return _steps(inner) + path, expected
+        inner = _most_useful_error(error.exceptions)
+        path, expected = _describe_error(inner)
+        return _path_of_note(inner) + path, expected
     if isinstance(error, FieldError):
         return [error.name] if error.name else [], error.expected
     if isinstance(error, ForbiddenExtraKeysError):
         unknown = min(error.extra_fields)
-        return [unknown], _suggestion(unknown, error.cl)
+        return [unknown], _suggest_field(unknown, error.cl)
     if isinstance(error, KeyError):
         return [], "a value, the field is missing"
-    return _explain_other(error)
+    return _explain_validator_error(error)
 
 
-def _explain_other(error: BaseException) -> tuple[list[str], str]:
-    """Take the field's name from the message of attrs' own validators."""
+def _explain_validator_error(error: BaseException) -> tuple[list[str], str]:
+    """Parse the field's name from a message of attrs' own validators."""
     message = str(error.args[0]) if error.args else str(error)
     match = _ATTRS_MESSAGE.match(message)
     if match:
@@ -91,16 +93,22 @@
     return [], f"another value ({message})"
 
 
-def _first(errors: typing.Sequence[BaseException]) -> BaseException:
-    """Prefer an unknown field: it tells more than the one then missing."""
+def _most_useful_error(
+    errors: typing.Sequence[BaseException],
+) -> BaseException:
+    """Return the error to report, preferably that of an unknown field.
+
+    A misspelt field is unknown and leaves another one missing; the unknown
+    name is the more useful message.
+    """
     for error in errors:
         if isinstance(error, ForbiddenExtraKeysError):
             return error
     return errors[0]
 
 
-def _steps(error: BaseException) -> list[str]:
-    """Return the step that cattrs noted on an error, if any."""
+def _path_of_note(error: BaseException) -> list[str]:
+    """Return the field name or index that cattrs noted on an error, if any."""
     for note in getattr(error, "__notes__", []):
         if isinstance(note, AttributeValidationNote):
             return [note.name]
@@ -109,10 +117,12 @@
     return []
 
 
-def _suggestion(unknown: str, cls: type[Any]) -> str:
-    """Return what to write in place of an unknown field."""
+def _suggest_field(unknown: str, cls: type[Any]) -> str:
+    """Return the expected field for an unknown one, as an error message."""
     names = [field.name for field in attrs.fields(cls)]
-    same = [name for name in names if _stem(name) == _stem(unknown)]
+    same = [
+        name for name in names if _without_unit(name) == _without_unit(unknown)
+    ]
     if same:
         return f"the field {same[0]} (mind its unit)"
     close = difflib.get_close_matches(unknown, names, n=1)
@@ -121,8 +131,8 @@
     return f"a known field: {', '.join(names)}"
 
 
-def _stem(name: str) -> str:
-    """Return a field's name without its unit."""
+def _without_unit(name: str) -> str:
+    """Return a field's name without its unit suffix."""
     for unit in _UNITS:
         if name.endswith(f"_{unit}"):
             return name.removesuffix(f"_{unit}")
@@ -131,19 +141,19 @@
 
 def _structure_str(value: object, _: object) -> str:
     if type(value) is not str:
-        raise FieldError("", f"a text, not {_shown(value)}")
+        raise FieldError("", f"a text, not {_truncated_repr(value)}")
     return value
 
 
 def _structure_int(value: object, _: object) -> int:
     if type(value) is not int:
-        raise FieldError("", f"a whole number, not {_shown(value)}")
+        raise FieldError("", f"a whole number, not {_truncated_repr(value)}")
     return value
 
 
 def _structure_float(value: object, _: object) -> float:
     if type(value) not in (int, float):
-        raise FieldError("", f"a number, not {_shown(value)}")
+        raise FieldError("", f"a number, not {_truncated_repr(value)}")
     number = float(typing.cast(float, value))
     if not math.isfinite(number):
         raise FieldError("", f"a finite number, not {value}")
@@ -152,33 +162,35 @@
 
 def _structure_bool(value: object, _: object) -> bool:
     if type(value) is not bool:
-        raise FieldError("", f"true or false, not {_shown(value)}")
+        raise FieldError("", f"true or false, not {_truncated_repr(value)}")
     return value
 
 
-def _shown(value: object) -> str:
-    """Return a value as it stands in a message, cut short."""
+def _truncated_repr(value: object) -> str:
+    """Return the `repr` of a value, truncated for an error message."""
     text = repr(value)
     return text if len(text) <= 60 else f"{text[:57]}..."
 
 
-def _only(kind: type, words: str, hook: _Hook) -> _Hook:
-    """Return `hook` behind a check of the kind of value."""
+def _require_type(kind: type, words: str, hook: _Hook) -> _Hook:
+    """Wrap `hook` so that it first checks the type of the value."""
 
     def structure_checked(value: Any, cls: Any) -> Any:
         if not isinstance(value, kind):
-            raise FieldError("", f"{words}, not {_shown(value)}")
+            raise FieldError("", f"{words}, not {_truncated_repr(value)}")
         if isinstance(value, dict) and not all(
             type(key) is str for key in value
         ):
-            raise FieldError("", f"names as keys, not {_shown(value)}")
+            raise FieldError(
+                "", f"names as keys, not {_truncated_repr(value)}"
+            )
         return hook(value, cls)
 
     return structure_checked
 
 
-def _is_a(container: type) -> Callable[[Any], bool]:
-    """Return a test for types such as `list[str]`."""
+def _is_generic(container: type) -> Callable[[Any], bool]:
+    """Return a predicate for generic types such as `list[str]`."""
 
     def test(cls: Any) -> bool:
         origin: object = typing.get_origin(cls)
@@ -187,8 +199,8 @@
     return test
 
 
-def _converter() -> cattrs.Converter:
-    """Return a converter that neither guesses nor drops anything."""
+def _build_converter() -> cattrs.Converter:
+    """Return a converter that rejects unknown fields and wrong types."""
     converter = cattrs.Converter(
         forbid_extra_keys=True, detailed_validation=True
     )
@@ -204,20 +216,20 @@
             _cattrs_forbid_extra_keys=True,
             _cattrs_detailed_validation=True,
         )
-        return _only(dict, "an object", hook)
+        return _require_type(dict, "an object", hook)
 
     def for_list(cls: Any) -> _Hook:
         hook = list_structure_factory(cls, converter)
-        return _only(list, "a list", hook)
+        return _require_type(list, "a list", hook)
 
     def for_dict(cls: Any) -> _Hook:
         hook = mapping_structure_factory(cls, converter)
-        return _only(dict, "an object", hook)
+        return _require_type(dict, "an object", hook)
 
     converter.register_structure_hook_factory(attrs.has, for_class)
-    converter.register_structure_hook_factory(_is_a(list), for_list)
-    converter.register_structure_hook_factory(_is_a(dict), for_dict)
+    converter.register_structure_hook_factory(_is_generic(list), for_list)
+    converter.register_structure_hook_factory(_is_generic(dict), for_dict)
     return converter
 
 
-_CONVERTER = _converter()
+_CONVERTER = _build_converter()
--- a/src/balsamlift/_log_sink.py
+++ b/src/balsamlift/_log_sink.py
@@ -1,4 +1,4 @@
-"""Write log lines without ever waiting for their reader."""
+"""Write log lines without blocking on a slow reader."""
 
 from __future__ import annotations
 
@@ -6,80 +6,82 @@
 import os
 from collections import deque
 
-MOST_HELD_BYTES = 256_000
+MAX_BUFFERED_BYTES = 256_000
 
 
 class LogSink:
-    """Hold lines while their reader is slow; drop new ones when it is full.
+    """Buffer lines while their reader is slow; drop new ones when full.
 
-    The number of lines dropped is written as a line of its own as soon as
-    there is room.
+    The number of dropped lines is written as a line of its own as soon as
+    the buffer has space again.
     """
 
-    def __init__(self, fd: int, most_bytes: int = MOST_HELD_BYTES) -> None:
-        """Write to a file descriptor, which is set not to block."""
+    def __init__(self, fd: int, max_bytes: int = MAX_BUFFERED_BYTES) -> None:
+        """Set the file descriptor to non-blocking mode and write to it."""
         os.set_blocking(fd, False)
         self._fd = fd
-        self._most_bytes = most_bytes
-        self._held: deque[bytes] = deque()
-        self._held_bytes = 0
-        self._watched: asyncio.AbstractEventLoop | None = None
-        self._untold = 0
+        self._max_bytes = max_bytes
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
+        self._watching_loop: asyncio.AbstractEventLoop | None = None
+        self._unreported = 0
         self.dropped = 0
 
     def write(self, line: str) -> None:
-        """Write a line with its end, now or when the reader has read on."""
+        """Write a line that includes its line end, or buffer it."""
         data = line.encode()
-        if self._held_bytes + len(data) > self._most_bytes:
+        if self._buffered_bytes + len(data) > self._max_bytes:
             self.dropped += 1
-            self._untold += 1
+            self._unreported += 1
             return
-        if self._untold:
-            told = f'{{"level":"WARNING","dropped_lines":{self._untold}}}\n'
-            self._untold = 0
-            self._hold(told.encode())
-        self._hold(data)
-        if self._watched is None:
+        if self._unreported:
+            report = (
+                f'{{"level":"WARNING","dropped_lines":{self._unreported}}}\n'
+            )
+            self._unreported = 0
+            self._append(report.encode())
+        self._append(data)
+        if self._watching_loop is None:
             self._drain()
 
     def flush(self) -> None:
-        """Do nothing: a line leaves as soon as it can."""
+        """Do nothing: each line is written as soon as possible."""
 
-    def _hold(self, data: bytes) -> None:
-        self._held.append(data)
-        self._held_bytes += len(data)
+    def _append(self, data: bytes) -> None:
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
 
     def _drain(self) -> None:
-        while self._held:
-            data = self._held[0]
+        while self._buffer:
+            data = self._buffer[0]
             try:
                 written = os.write(self._fd, data)
             except BlockingIOError:
-                self._watch()
+                self._start_watching()
                 return
             except OSError:
-                # Nobody reads any more: there is nowhere to tell it.
-                self._held.clear()
-                self._held_bytes = 0
+                # The reader has closed the pipe: there is nowhere to log this.
+                self._buffer.clear()
+                self._buffered_bytes = 0
                 break
-            self._held_bytes -= written
+            self._buffered_bytes -= written
             if written == len(data):
-                self._held.popleft()
+                self._buffer.popleft()
             else:
-                self._held[0] = data[written:]
-        self._unwatch()
+                self._buffer[0] = data[written:]
+        self._stop_watching()
 
-    def _watch(self) -> None:
-        if self._watched is not None:
+    def _start_watching(self) -> None:
+        if self._watching_loop is not None:
             return
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
-            return  # before the loop runs: the next line tries again
+            return  # no loop is running yet: the next line tries again
         loop.add_writer(self._fd, self._drain)
-        self._watched = loop
+        self._watching_loop = loop
 
-    def _unwatch(self) -> None:
-        if self._watched is not None:
-            self._watched.remove_writer(self._fd)
-            self._watched = None
+    def _stop_watching(self) -> None:
+        if self._watching_loop is not None:
+            self._watching_loop.remove_writer(self._fd)
+            self._watching_loop = None
--- a/src/balsamlift/_progress.py
+++ b/src/balsamlift/_progress.py
@@ -1,4 +1,4 @@
-"""What a caller has of one answer, and what hosts tell of it."""
+"""Client-side progress of one request and the outcomes hosts report."""
 
 from __future__ import annotations
 
@@ -50,41 +50,41 @@
 
 @attrs.define(eq=False)
 class Progress:
-    """Hold what the caller has of one answer, whatever host it came from."""
+    """Hold what has been received of one answer, from any host."""
 
     request: Request
     key: str
-    place: Place
+    home: Place
     on_tokens: OnTokens | None = None
     on_key: OnKey | None = None
     answer: Answer = attrs.field(factory=Answer)
     accepted: Accepted | None = None
     start: Start | None = None
-    sent: bool = False  # whether a byte of this key may have left
-    sent_before: bool = False  # the same, before the try that is under way
+    sent: bool = False  # whether any byte may have been sent under this key
+    sent_before: bool = False  # the is_same, before the current attempt
 
-    def draw_key(self, place: Place) -> None:
-        """Take a new key, of which nothing has left, at home at `place`."""
-        self.place = place
-        self.key = new_homed_key(place.key_prefix)
+    def replace_key(self, home: Place) -> None:
+        """Replace the unsent key by a new one whose home is `home`."""
+        self.home = home
+        self.key = new_homed_key(home.key_prefix)
         if self.on_key is not None:
             self.on_key(self.key)
 
-    def take_start(self, start: Start) -> None:
-        """Take tokens of this generation; raise `FrameError` if it can't.
+    def accept_start(self, start: Start) -> None:
+        """Accept tokens of this generation from now on.
 
-        A second generation is believed only where the host says that it
-        repeats every token held.
+        Raises `FrameError` for a second generation, unless the host says
+        that it repeats every token already received.
         """
-        held = self.answer.next_index
-        same = start.generation == self.answer.generation
-        if held and not same and start.verified_tokens < held:
+        received = self.answer.next_index
+        is_same = start.generation == self.answer.generation
+        if received and not is_same and start.verified_tokens < received:
             raise FrameError("another generation in the middle of an answer")
         self.answer.begin(start.generation)
         self.start = start
 
-    def take_tokens(self, frame: Tokens) -> None:
-        """Add tokens and pass the new ones on."""
+    def append_tokens(self, frame: Tokens) -> None:
+        """Append tokens and pass the new ones to `on_tokens`."""
         added = self.answer.append(frame)
         if added and self.on_tokens is not None:
             self.on_tokens(frame.tokens[-added:])
@@ -95,17 +95,17 @@
     error: str
 
 
-def checked(progress: Progress, outcome: Outcome) -> Outcome:
-    """Return the outcome, checked against the tokens that came.
+def verify_outcome(progress: Progress, outcome: Outcome) -> Outcome:
+    """Return the outcome after checking it against the tokens received.
 
-    Raises `FrameError` while tokens are missing.
+    Raises `FrameError` if tokens are missing.
     """
     if outcome.outcome != WHOLE:
         return outcome
     if outcome.tokens > progress.answer.next_index:
-        raise FrameError("the end counts more tokens than those that came")
-    if outcome.digest != _digest(progress, outcome):
-        # What was passed on cannot be taken back: no use in asking again.
+        raise FrameError("the end counts more tokens than were received")
+    if outcome.digest != _compute_digest(progress, outcome):
+        # The tokens are with the caller already, so a retry cannot help.
         return Outcome(
             outcome=FAILED,
             reason="digest_wrong",
@@ -115,17 +115,17 @@
     return outcome
 
 
-def _digest(progress: Progress, outcome: Outcome) -> str:
+def _compute_digest(progress: Progress, outcome: Outcome) -> str:
     if progress.start is not None:
         return progress.answer.digest
     encoded = msgspec.json.encode(outcome.result)
     return hashlib.sha256(encoded).hexdigest()
 
 
-def status_outcome(
+def outcome_of_status(
     progress: Progress, error: StreamStatusError
 ) -> Outcome | None:
-    """Return what a status tells, if that is an outcome."""
+    """Return the outcome that an HTTP status implies, or None."""
     try:
         return msgspec.json.decode(error.body, type=Outcome)
     except msgspec.DecodeError:
@@ -137,7 +137,8 @@
     reason = _error_code(error)
     if error.status == GONE:
         return Outcome(outcome=FAILED, reason=reason)
-    # What an earlier try has begun may run, whatever this one was told.
+    # An earlier attempt may have started the request, so a refusal of this
+    # one does not prove that it did not run.
     kind = UNKNOWN if progress.sent_before else REFUSED
     return Outcome(
         outcome=kind, reason=reason, tokens=progress.answer.next_index
@@ -151,8 +152,8 @@
         return f"status_{error.status}"
 
 
-def lost(progress: Progress) -> Outcome:
-    """Return the outcome when no host told one in time."""
+def no_answer_outcome(progress: Progress) -> Outcome:
+    """Return the outcome for a request that no host answered in time."""
     return Outcome(
         outcome=UNKNOWN,
         reason="no_answer",
--- a/src/balsamlift/_validators.py
+++ b/src/balsamlift/_validators.py
@@ -13,18 +13,19 @@
 
 Validator = Callable[[Any, "attrs.Attribute[Any]", Any], None]
 
-# Key prefixes join a host name to other parts with "~" and ".".
+# Key prefixes join a host name with other parts by "~" and ".", so an
+# identifier contains neither.
 _IDENTIFIER = re.compile(r"[A-Za-z0-9]([A-Za-z0-9-]{0,61}[A-Za-z0-9])?")
 _SHA256 = re.compile(r"[0-9a-f]{64}")
 
-LARGEST_NAME = 200
-_NAME = re.compile(rf"[A-Za-z0-9._-]{{1,{LARGEST_NAME}}}")
+MAX_NAME_LENGTH = 200
+_NAME = re.compile(rf"[A-Za-z0-9._-]{{1,{MAX_NAME_LENGTH}}}")
 
 DAY_MS = 86_400_000
 
 
 def between(low: float, high: float) -> Validator:
-    """Return a validator for numbers from `low` to `high`, both allowed."""
+    """Return a validator for numbers from `low` to `high`, inclusive."""
 
     def check(_: Any, field: attrs.Attribute[Any], value: Any) -> None:
         if not low <= value <= high:
@@ -59,7 +60,7 @@
 
 
 def one_of(*choices: str) -> Validator:
-    """Return a validator for one of a few words."""
+    """Return a validator for a text that is one of `choices`."""
 
     def check(_: Any, field: attrs.Attribute[Any], value: Any) -> None:
         if value not in choices:
@@ -70,7 +71,7 @@
 
 
 def identifier(_: Any, field: attrs.Attribute[Any], value: Any) -> None:
-    """Accept letters, digits and inner hyphens, 63 at most."""
+    """Accept 1 to 63 letters, digits and inner hyphens."""
     if not _IDENTIFIER.fullmatch(value):
         raise FieldError(
             field.name,
@@ -79,25 +80,25 @@
 
 
 def short_name(_: Any, field: attrs.Attribute[Any], value: Any) -> None:
-    """Accept a printable text that is neither empty nor long."""
-    if not 0 < len(value) <= LARGEST_NAME or not value.isprintable():
+    """Accept a printable text of 1 to `MAX_NAME_LENGTH` characters."""
+    if not 0 < len(value) <= MAX_NAME_LENGTH or not value.isprintable():
         raise FieldError(
-            field.name, f"1 to {LARGEST_NAME} printable characters"
+            field.name, f"1 to {MAX_NAME_LENGTH} printable characters"
         )
 
 
 def plain_name(_: Any, field: attrs.Attribute[Any], value: Any) -> None:
-    """Accept letters, digits, "-", "_" and "."."""
+    """Accept a name of letters, digits, "-", "_" and "."."""
     if not _NAME.fullmatch(value):
         raise FieldError(
             field.name,
-            f"1 to {LARGEST_NAME} letters, digits, hyphens, underscores "
+            f"1 to {MAX_NAME_LENGTH} letters, digits, hyphens, underscores "
             f'and dots, not "{value}"',
         )
 
 
 def address(_: Any, field: attrs.Attribute[Any], value: Any) -> None:
-    """Accept "IP:port" with an IP number, never a host name."""
+    """Accept "IP:port" with an IP address, not a host name."""
     expected = f'"IP number:port" such as "127.0.0.1:7000", not "{value}"'
     try:
         ip, port = split_address(value)
@@ -108,7 +109,7 @@
 
 
 def address_or_empty(_: Any, field: attrs.Attribute[Any], value: Any) -> None:
-    """Accept an address, or nothing."""
+    """Accept an address or an empty text."""
     if value:
         address(_, field, value)
 
@@ -121,7 +122,7 @@
 
 
 def sha256_or_empty(_: Any, field: attrs.Attribute[Any], value: Any) -> None:
-    """Accept a SHA-256 digest in lower-case hex, or nothing."""
+    """Accept a SHA-256 digest in lower-case hex or an empty text."""
     if value and not _SHA256.fullmatch(value):
         raise FieldError(
             field.name, "64 lower-case hex digits, or an empty text"
@@ -129,22 +130,22 @@
 
 
 def longer_than(other: str) -> Validator:
-    """Return a validator for a time longer than that of a sibling field."""
+    """Return a validator for a duration longer than the field `other`."""
 
     def check(instance: Any, field: attrs.Attribute[Any], value: Any) -> None:
-        least = getattr(instance, other)
-        if value <= least:
+        minimum = getattr(instance, other)
+        if value <= minimum:
             raise FieldError(
-                field.name, f"more than {other} ({least}), not {value}"
+                field.name, f"more than {other} ({minimum}), not {value}"
             )
 
     return check
 
 
 def names(most: int, *others: str) -> Validator:
-    """Return a validator for a mapping's keys: 1 to `most` plain names.
+    """Return a validator for a mapping with 1 to `most` plain names as keys.
 
-    The names in `others` are allowed besides.
+    Keys in `others` are allowed as well.
     """
 
     def check(_: Any, field: attrs.Attribute[Any], value: Any) -> None:
@@ -156,7 +157,7 @@
             if key not in others and not _NAME.fullmatch(key):
                 raise FieldError(
                     f"{field.name}.{key}",
-                    f"a name of 1 to {LARGEST_NAME} letters, digits, "
+                    f"a name of 1 to {MAX_NAME_LENGTH} letters, digits, "
                     "hyphens, underscores and dots",
                 )
 
--- a/src/balsamlift/cli.py
+++ b/src/balsamlift/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Entry point of the command line: dispatch subcommands, report errors."""
 
 from __future__ import annotations
 
@@ -61,18 +61,19 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Run one command and return its exit code."""
-    given = list(sys.argv[1:] if argv is None else argv)
+    arguments = list(sys.argv[1:] if argv is None else argv)
     try:
-        code = _run(given)
+        code = _run(arguments)
         sys.stdout.flush()
     except BalsamliftError as error:
-        _print_error(error, as_json="--json" in given)
-        return _code_of(error)
+        _print_error(error, as_json="--json" in arguments)
+        return _exit_code_of(error)
     except KeyboardInterrupt:
         print_note("interrupted")
         return ExitCode.FAILED
     except BrokenPipeError:
-        # The reader of our output has left; keep Python from telling.
+        # The reader of standard output has closed it. Without this, Python
+        # reports the broken pipe at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return ExitCode.FAILED
     return code
@@ -84,7 +85,7 @@
             Arguments(USAGE, argv)
         if argv[0] not in _COMMANDS:
             raise UsageError(f"no command {argv[0]!r}; see --help")
-        return _command(argv[0])(argv)
+        return _load_command(argv[0])(argv)
     except DocoptExit as error:
         print(error, file=sys.stderr)
         return ExitCode.USAGE
@@ -92,14 +93,14 @@
         return ExitCode.FAILED if error.code else ExitCode.DONE
 
 
-def _command(name: str) -> Command:
-    """Return a command; only its own module is imported."""
+def _load_command(name: str) -> Command:
+    """Return the function of a command, importing only its module."""
     module = import_module(f"balsamlift._commands._{name}")
     command: Command = module.run
     return command
 
 
-def _code_of(error: BalsamliftError) -> ExitCode:
+def _exit_code_of(error: BalsamliftError) -> ExitCode:
     if isinstance(error, _USAGE_ERRORS):
         return ExitCode.USAGE
     if isinstance(error, InterruptedUnknownError):
--- a/src/balsamlift/client.py
+++ b/src/balsamlift/client.py
@@ -1,4 +1,4 @@
-"""The caller's side: find a host, ask, read the answer, come back."""
+"""Client library: find a host, send a request and read its answer."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     OnTokens,
     Progress,
     Request,
-    checked,
-    lost,
-    status_outcome,
+    no_answer_outcome,
+    outcome_of_status,
+    verify_outcome,
 )
 from balsamlift.clock import Clock, SystemClock
 from balsamlift.exceptions import BalsamliftError
@@ -45,7 +45,7 @@
 )
 
 CONNECT_MS = 1_000
-SILENCE_MS = 3_500  # hosts send a heartbeat every second
+SILENCE_MS = 3_500  # hosts send a heartbeat every second by default
 TIMEOUT_MS = 3_000
 PAUSE_S = 0.1
 MAX_PAUSE_S = 2.0
@@ -64,15 +64,16 @@
 
 
 class NoHostError(BalsamliftError):
-    """Tell that no host gave an address to use."""
+    """Raised when no host returned an address to use."""
 
 
 class Client:
-    """Ask for generations and calls on behalf of one workspace.
+    """Send requests for generations and calls on behalf of one workspace.
 
-    `addresses` are callers' addresses of any hosts, "IP:port"; more are
-    learned from them. Where a host says that asking again may tell more
-    than "unknown", the same key is asked for `ask_again` times more.
+    `addresses` are callers' addresses ("IP:port") of any hosts, from which
+    the client learns others. If the outcome is "unknown" and the host says
+    that a retry may tell more, the client asks for the same key again, up to
+    `ask_again` times.
     """
 
     def __init__(
@@ -85,8 +86,8 @@
         clock: Clock | None = None,
         ask_again: int = ASK_AGAIN,
     ) -> None:
-        """Keep who asks and where to begin."""
-        self._seeds = addresses
+        """Store the workspace, its token and the first addresses."""
+        self._initial_addresses = addresses
         self._workspace = workspace
         self._headers = {"Authorization": f"Bearer {token}"} if token else {}
         self._domain = failure_domain
@@ -95,7 +96,7 @@
         self._http = HttpClient()
         self._streams = StreamClient()
         self._places: list[Place] = []
-        self._keep_until_s = 0.0
+        self._places_expire_s = 0.0
 
     def close(self) -> None:
         """Close the connections."""
@@ -103,18 +104,23 @@
         self._streams.close()
 
     async def places(self) -> list[Place]:
-        """Return the hosts to use, asked for again once the list is old.
+        """Return the hosts to use; fetch the list again once it has expired.
 
         Raises `NoHostError`.
         """
-        if self._places and self._clock.monotonic() < self._keep_until_s:
+        if self._places and self._clock.monotonic() < self._places_expire_s:
             return self._places
         known = [p.address for p in self._places]
-        for address in [*known, *random.sample(self._seeds, len(self._seeds))]:
+        for address in [
+            *known,
+            *random.sample(
+                self._initial_addresses, len(self._initial_addresses)
+            ),
+        ]:
             with contextlib.suppress(CallError, msgspec.DecodeError):
                 found = await self._ask_places(address)
                 if found.addresses:
-                    self._keep(found)
+                    self._store_places(found)
                     return self._places
         raise NoHostError("no host gave an address")
 
@@ -128,25 +134,25 @@
     ) -> Outcome:
         """Run one request to its outcome.
 
-        Refused requests are tried `attempts` times in all, each when the
-        refusal says and under a new key, which `on_key` is told; idempotent
-        ones of unknown fate too, as long as no token came. Raises
-        `NoHostError`.
+        A refused request is attempted up to `attempts` times, each time after
+        the delay in the refusal and under a new key, which is passed to
+        `on_key`. So are idempotent requests that failed or whose outcome is
+        unknown, as long as no token was received. Raises `NoHostError`.
         """
-        for left in range(attempts - 1, -1, -1):
+        for attempts_left in range(attempts - 1, -1, -1):
             progress = await self._begin(request, on_tokens)
             progress.on_key = on_key
             if on_key is not None:
                 on_key(progress.key)
-            outcome = await self._follow(progress)
-            if not left or not _may_repeat(progress, outcome):
+            outcome = await self._read_outcome(progress)
+            if not attempts_left or not _may_retry(progress, outcome):
                 return outcome
             pause_s = max(outcome.retry_after_ms or 0, 1) / 1_000
             await self._clock.sleep(pause_s)
         raise AssertionError("attempts must be positive")
 
     async def cancel(self, key: str, address: str) -> bool:
-        """Cancel a request; return whether a host said it has."""
+        """Cancel a request; return whether a host confirmed it."""
         query = urlencode({"workspace": self._workspace})
         url = f"http://{address}/v1/requests/{quote(key)}?{query}"
         try:
@@ -164,72 +170,76 @@
         key = new_homed_key(place.key_prefix)
         return Progress(request, key, place, on_tokens)
 
-    async def _follow(self, progress: Progress) -> Outcome:
-        """Follow the answer; ask again where that may tell more."""
+    async def _read_outcome(self, progress: Progress) -> Outcome:
+        """Read the answer; while its outcome is unknown, ask for it again."""
         deadline_ms = progress.request.deadline_ms or DEADLINE_MS
-        ends_s = self._clock.monotonic() + deadline_ms / 1_000
-        outcome = await self._follow_once(progress, ends_s)
+        deadline_s = self._clock.monotonic() + deadline_ms / 1_000
+        outcome = await self._read_from_hosts(progress, deadline_s)
         for _ in range(self._ask_again):
             if outcome.outcome != UNKNOWN or outcome.retry_after_ms is None:
                 break
             pause_s = outcome.retry_after_ms / 1_000
-            if self._clock.monotonic() + pause_s > ends_s:
+            if self._clock.monotonic() + pause_s > deadline_s:
                 break
             await self._clock.sleep(pause_s)
-            outcome = await self._follow_once(progress, ends_s)
+            outcome = await self._read_from_hosts(progress, deadline_s)
         return outcome
 
-    async def _follow_once(self, progress: Progress, ends_s: float) -> Outcome:
-        """Read from one host after another until an outcome is told."""
+    async def _read_from_hosts(
+        self, progress: Progress, deadline_s: float
+    ) -> Outcome:
+        """Read from one host after another until an outcome is known."""
         pause_s = PAUSE_S
-        place = progress.place
+        place = progress.home
         while True:
-            before = progress.answer.next_index
-            outcome = await self._try(progress, place)
+            previous_index = progress.answer.next_index
+            outcome = await self._try_host(progress, place)
             if outcome is not None:
                 return outcome
-            if progress.answer.next_index > before:
+            if progress.answer.next_index > previous_index:
                 pause_s = PAUSE_S
-            if self._clock.monotonic() > ends_s:
-                return lost(progress)
+            if self._clock.monotonic() > deadline_s:
+                return no_answer_outcome(progress)
             await self._clock.sleep(pause_s * random.uniform(0.5, 1.0))
             pause_s = min(pause_s * 2, MAX_PAUSE_S)
             place = await self._next_place(progress, place)
 
-    async def _try(self, progress: Progress, place: Place) -> Outcome | None:
-        """Return the outcome that one host tells, if it does."""
+    async def _try_host(
+        self, progress: Progress, place: Place
+    ) -> Outcome | None:
+        """Return the outcome reported by one host, or None."""
         try:
             return await self._read(progress, place)
         except StreamUnreachableError:
-            await self._rehome(progress, place)
+            await self._change_home(progress, place)
         except StreamStatusError as error:
-            return status_outcome(progress, error)
+            return outcome_of_status(progress, error)
         except (StreamError, FrameError):
             pass
         return None
 
-    async def _rehome(self, progress: Progress, place: Place) -> None:
-        """Draw a new key elsewhere when not a byte of the old one left."""
-        self._keep_until_s = 0.0
+    async def _change_home(self, progress: Progress, place: Place) -> None:
+        """Move to another host under a new key if nothing was sent yet."""
+        self._places_expire_s = 0.0
         self._places = [p for p in self._places if p != place]
         if progress.sent:
             return
         with contextlib.suppress(NoHostError):
             places = await self.places()
-            # The list may still name the host that was not reached.
+            # The list may still contain the unreachable host.
             others = [p for p in places if p != place]
-            progress.draw_key((others or places)[0])
+            progress.replace_key((others or places)[0])
 
     async def _next_place(self, progress: Progress, last: Place) -> Place:
-        """Return the home if it was not the last tried, or another."""
-        if not progress.sent or last != progress.place:
-            return progress.place
+        """Return the home if it was not tried last, otherwise another host."""
+        if not progress.sent or last != progress.home:
+            return progress.home
         try:
             places = await self.places()
         except NoHostError:
-            return progress.place
+            return progress.home
         others = [p for p in places if p != last]
-        return random.choice(others) if others else progress.place
+        return random.choice(others) if others else progress.home
 
     async def _read(self, progress: Progress, place: Place) -> Outcome:
         stream = self._open(progress, place)
@@ -239,13 +249,13 @@
             async with contextlib.aclosing(stream.events()) as events:
                 async for event in events:
                     if event.name == "token":
-                        progress.take_tokens(event.decode(Tokens))
+                        progress.append_tokens(event.decode(Tokens))
                     elif event.name == "start":
-                        progress.take_start(event.decode(Start))
+                        progress.accept_start(event.decode(Start))
                     elif event.name == "accepted":
                         progress.accepted = event.decode(Accepted)
                     elif event.name == "end":
-                        return checked(progress, event.decode(Outcome))
+                        return verify_outcome(progress, event.decode(Outcome))
         except StreamUnreachableError:
             progress.sent = progress.sent_before
             raise
@@ -294,16 +304,16 @@
         )
         return answer.decode(Addresses)
 
-    def _keep(self, found: Addresses) -> None:
+    def _store_places(self, found: Addresses) -> None:
         self._places = found.addresses
-        self._keep_until_s = self._clock.monotonic() + found.keep_ms / 1_000
+        self._places_expire_s = self._clock.monotonic() + found.keep_ms / 1_000
 
 
-def _may_repeat(progress: Progress, outcome: Outcome) -> bool:
+def _may_retry(progress: Progress, outcome: Outcome) -> bool:
     if outcome.outcome == REFUSED:
-        # Without a time to come back it is the request that is wrong, or
-        # was cancelled.
+        # A refusal without a retry time means that the request is invalid
+        # or was cancelled.
         return outcome.retry_after_ms is not None
     ran = outcome.outcome in (UNKNOWN, FAILED)
-    safe = progress.request.idempotent is True
-    return ran and safe and not progress.answer.next_index
+    is_idempotent = progress.request.idempotent is True
+    return ran and is_idempotent and not progress.answer.next_index
--- a/src/balsamlift/clock.py
+++ b/src/balsamlift/clock.py
@@ -1,4 +1,4 @@
-"""The clock that every part is handed."""
+"""The clock interface that is passed to every service."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Clock(Protocol):
-    """Tell the time and wait."""
+    """Return the time and sleep; tests replace it by a virtual clock."""
 
     def now(self) -> datetime:
         """Return the wall time in UTC."""
--- a/src/balsamlift/daemon.py
+++ b/src/balsamlift/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: one kernel with every service, run until told to leave."""
+"""The daemon: one kernel with all services, run until it is stopped."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @attrs.frozen(kw_only=True)
 class Ready:
-    """Tell on standard output where a daemon listens."""
+    """Hold the line printed on standard output once a daemon listens."""
 
     host: str
     incarnation: str
@@ -49,10 +49,10 @@
 
 
 class Daemon:
-    """Hold the services of one host."""
+    """Create, start and shut down the services of one host."""
 
     def __init__(self, settings: Settings, clock: Clock) -> None:
-        """Make every service; each listens from here on."""
+        """Create every service; servers bind their addresses here."""
         self.settings = settings
         self.clock = clock
         self.kernel = Kernel()
@@ -121,7 +121,7 @@
 
     @property
     def ready(self) -> Ready:
-        """Return where this daemon listens."""
+        """Return the addresses on which this daemon listens."""
         return Ready(
             host=self.settings.host,
             incarnation=self.home.incarnation,
@@ -135,38 +135,39 @@
         await self.kernel.start()
         log.info("Host {} is up.", self.settings.host)
 
-    async def leave(self) -> None:
-        """Leave without cutting off a request.
+    async def shut_down(self) -> None:
+        """Shut down gracefully, without interrupting requests.
 
-        Callers keep addresses for a while, so keys are taken for that
-        long; then what runs is waited for, then the keys are handed over.
+        Callers cache addresses for `address_keep_ms`, so new keys are
+        accepted for that long. Then the host waits for running requests, up
+        to `shutdown_ms`, and hands its keys over to other hosts.
         """
         self.timeline.record("leaving")
         self.peers.announce_leaving()
         await self.clock.sleep(self.settings.address_keep_ms / 1_000)
         self.requests.taking = False
-        bound_s = self.settings.shutdown_ms / 1_000
-        if not await self.requests.wait_idle(bound_s):
-            log.error("Requests still run after {} s.", bound_s)
+        timeout_s = self.settings.shutdown_ms / 1_000
+        if not await self.requests.wait_idle(timeout_s):
+            log.error("Requests are still running after {} s.", timeout_s)
         await self.requests.hand_over()
         await self.kernel.stop()
         log.info("Host {} has left.", self.settings.host)
 
 
 def run(settings: Settings) -> None:
-    """Run one daemon until SIGTERM or SIGINT, and leave gracefully."""
+    """Run one daemon until SIGTERM or SIGINT, then shut down gracefully."""
     logs.configure(settings.log_level, settings.log_json, host=settings.host)
     asyncio.run(_run(settings))
 
 
 async def _run(settings: Settings) -> None:
     daemon = Daemon(settings, SystemClock())
-    leave = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, leave.set)
+        loop.add_signal_handler(number, stop_requested.set)
     await daemon.start()
     sys.stdout.write(msgspec.json.encode(daemon.ready).decode() + "\n")
     sys.stdout.flush()
-    await leave.wait()
-    await daemon.leave()
+    await stop_requested.wait()
+    await daemon.shut_down()
--- a/src/balsamlift/kernel.py
+++ b/src/balsamlift/kernel.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: services registered and found by name."""
+"""Registry of services: register, find by name, start and stop."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class Service(Protocol):
-    """Run between `start` and `stop` under one name."""
+    """Interface of a service, which runs between `start` and `stop`."""
 
     name: str
 
     async def start(self, kernel: Kernel) -> None:
-        """Find the services needed and begin work."""
+        """Look up the services it needs and start working."""
 
     async def stop(self) -> None:
-        """End all work that `start` began."""
+        """End all work that `start` has begun."""
 
 
 class Kernel:
-    """Hold services: start them in order, stop them in reverse."""
+    """Hold services; start them in order and stop them in reverse."""
 
     def __init__(self) -> None:
-        """Begin with no service."""
+        """Create a kernel without services."""
         self._services: dict[str, Service] = {}
         self._started: list[Service] = []
 
@@ -39,7 +39,7 @@
         self._services[service.name] = service
 
     def find(self, name: str, kind: type[T]) -> T:
-        """Return the service of that name, checked to be a `kind`.
+        """Return the service of that name, which must be a `kind`.
 
         Raises `ServiceMissingError` when there is none.
         """
@@ -55,6 +55,6 @@
             await service.start(self)
 
     async def stop(self) -> None:
-        """Stop what was started, last first."""
+        """Stop the started services in reverse order."""
         while self._started:
             await self._started.pop().stop()
--- a/src/balsamlift/logs.py
+++ b/src/balsamlift/logs.py
@@ -1,4 +1,4 @@
-"""Set up the logs of a process."""
+"""Configure the logging of a process."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class LogLine:
-    """Hold one line of the JSON form."""
+    """Hold one line in JSON format."""
 
     time: str  # ISO 8601, UTC
     level: str
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class DetailedLogLine(LogLine):
-    """Hold one line of the JSON form, and what decided what it tells."""
+    """Hold one line in JSON format with the keywords of its log call."""
 
     details: dict[str, Any] = attrs.field(factory=dict)
 
@@ -46,10 +46,11 @@
     sink: TextIO | LogSink | None = None,
     host: str = "-",
 ) -> None:
-    """Send all logs of this process to `sink`, stderr by default.
+    """Write all logs of this process to `sink`, stderr by default.
 
     A part of the program logs through `logger.bind(part="peers")`; the
-    part is the prefix of its lines. With `json` each line is a `LogLine`.
+    part is the prefix of its lines. With `json` each line is a `LogLine`
+    or a `DetailedLogLine`.
     """
     stream = sys.stderr if sink is None else sink
     logger.remove()
@@ -62,7 +63,7 @@
             level=level,
             format=_FORMAT,
             backtrace=False,
-            diagnose=False,  # traces must not show the values of callers
+            diagnose=False,  # tracebacks must not show callers' values
         )
         return
 
@@ -75,7 +76,7 @@
 
 
 def _keep_on_one_line(record: Record) -> None:
-    """Escape line ends, for a message may carry a caller's text."""
+    """Escape line ends, as a message may contain a caller's text."""
     message = record["message"]
     if not message.isprintable():
         record["message"] = message.encode("unicode_escape").decode("ascii")
--- a/src/balsamlift/metrics.py
+++ b/src/balsamlift/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms of one host, and their merging."""
+"""Counters, gauges and histograms of one host, and merging of hosts."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 _HIGHEST_US = 3_600_000_000
 _SIGNIFICANT_FIGURES = 2
 _US_PER_MS = 1_000
-_ODD = re.compile(r"\W+")
+_NON_WORD_CHARACTERS = re.compile(r"\W+")
 
 
 @attrs.frozen
 class Snapshot:
-    """Hold what one host has measured; histograms in HDR's base64 form."""
+    """Hold the metrics of one host; histograms are base64 HDR encoded."""
 
     counters: dict[str, int] = attrs.field(factory=dict)
     gauges: dict[str, float] = attrs.field(factory=dict)
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class GaugeSummary:
-    """Hold the spread of one gauge over hosts."""
+    """Hold the minimum, maximum and sum of one gauge over hosts."""
 
     low: float
     high: float
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class Summary:
-    """Hold the merged measurements of several hosts."""
+    """Hold the merged metrics of several hosts."""
 
     counters: dict[str, int] = attrs.field(factory=dict)
     gauges: dict[str, GaugeSummary] = attrs.field(factory=dict)
@@ -64,22 +64,22 @@
 
 
 class Metrics:
-    """Count and time what happens on this host.
+    """Collect the counters, gauges and histograms of this host.
 
-    The number of names is bounded; a name past the bound is counted under
-    `NAMES_DROPPED` and left out.
+    The number of names is limited; a value under a new name beyond the limit
+    is dropped and counted under `NAMES_DROPPED`.
     """
 
     name = "metrics"
 
     def __init__(self) -> None:
-        """Begin with nothing measured."""
+        """Create empty metrics."""
         self._counters: dict[str, int] = {NAMES_DROPPED: 0}
         self._gauges: dict[str, float] = {}
         self._histograms: dict[str, HdrHistogram] = {}
 
     async def start(self, kernel: Kernel) -> None:
-        """Show the measurements to operators."""
+        """Add the routes that serve the metrics to operators."""
         operators = kernel.find("operators", OperatorsServer)
         arguments = {"metrics": self}
         operators.add_routes(
@@ -90,23 +90,23 @@
         )
 
     async def stop(self) -> None:
-        """Keep the measurements; there is nothing to end."""
+        """Do nothing: there is no work to end."""
 
     def count(self, name: str, n: int = 1) -> None:
         """Add `n` to a counter."""
-        if name in self._counters or self._room(self._counters, MAX_NAMES):
+        if name in self._counters or self._has_room(self._counters, MAX_NAMES):
             self._counters[name] = self._counters.get(name, 0) + n
 
     def gauge(self, name: str, value: float) -> None:
         """Set a gauge."""
-        if name in self._gauges or self._room(self._gauges, MAX_NAMES):
+        if name in self._gauges or self._has_room(self._gauges, MAX_NAMES):
             self._gauges[name] = value
 
     def observe_ms(self, name: str, value: float) -> None:
-        """Record a time in milliseconds, kept to a microsecond's grain."""
+        """Record a duration in milliseconds, rounded to microseconds."""
         histogram = self._histograms.get(name)
         if histogram is None:
-            if not self._room(self._histograms, MAX_HISTOGRAMS):
+            if not self._has_room(self._histograms, MAX_HISTOGRAMS):
                 return
             histogram = _new_histogram()
             self._histograms[name] = histogram
@@ -114,22 +114,22 @@
         histogram.record_value(min(max(value_us, _LOWEST_US), _HIGHEST_US))
 
     def snapshot(self) -> Snapshot:
-        """Return a copy of all measurements."""
+        """Return a copy of all metrics."""
         histograms = {
             name: histogram.encode().decode("ascii")
             for name, histogram in self._histograms.items()
         }
         return Snapshot(dict(self._counters), dict(self._gauges), histograms)
 
-    def _room(self, names: Sized, most: int) -> bool:
-        if len(names) < most:
+    def _has_room(self, names: Sized, limit: int) -> bool:
+        if len(names) < limit:
             return True
         self._counters[NAMES_DROPPED] += 1
         return False
 
 
 def merge_snapshots(snapshots: Iterable[Snapshot]) -> Summary:
-    """Return sums, spreads and percentiles over all snapshots."""
+    """Return sums, gauge summaries and percentiles over all snapshots."""
     counters: dict[str, int] = {}
     gauges: dict[str, list[float]] = {}
     histograms: dict[str, HdrHistogram] = {}
@@ -143,8 +143,11 @@
             merged.add(HdrHistogram.decode(encoded))
     return Summary(
         counters,
-        {name: _spread(values) for name, values in gauges.items()},
-        {name: _distribution(merged) for name, merged in histograms.items()},
+        {name: _summarize_gauge(values) for name, values in gauges.items()},
+        {
+            name: _summarize_histogram(merged)
+            for name, merged in histograms.items()
+        },
     )
 
 
@@ -152,11 +155,11 @@
     return HdrHistogram(_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_FIGURES)
 
 
-def _spread(values: list[float]) -> GaugeSummary:
+def _summarize_gauge(values: list[float]) -> GaugeSummary:
     return GaugeSummary(min(values), max(values), sum(values))
 
 
-def _distribution(histogram: HdrHistogram) -> Distribution:
+def _summarize_histogram(histogram: HdrHistogram) -> Distribution:
     def percentile_ms(percentile: float) -> float:
         value_us = histogram.get_value_at_percentile(percentile)
         return float(value_us) / _US_PER_MS
@@ -173,15 +176,19 @@
 
 
 def to_text(snapshot: Snapshot) -> str:
-    """Return the measurements as text, one a line: name and value.
+    """Return the metrics as text, with one name and value per line.
 
-    Histograms give their count, quantiles and maximum, in milliseconds.
+    A histogram is given as its count, quantiles and maximum in milliseconds.
     """
     summary = merge_snapshots([snapshot])
-    lines = [f"{_plain(n)}_total {v}" for n, v in summary.counters.items()]
-    lines += [f"{_plain(n)} {v.total:g}" for n, v in summary.gauges.items()]
+    lines = [
+        f"{_to_text_name(n)}_total {v}" for n, v in summary.counters.items()
+    ]
+    lines += [
+        f"{_to_text_name(n)} {v.total:g}" for n, v in summary.gauges.items()
+    ]
     for name, values in summary.distributions.items():
-        base = f"{_plain(name)}_ms"
+        base = f"{_to_text_name(name)}_ms"
         lines += [
             f"{base}_count {values.count}",
             f'{base}{{quantile="0.5"}} {values.p50_ms:g}',
@@ -193,20 +200,20 @@
     return "\n".join([*sorted(lines), ""])
 
 
-def _plain(name: str) -> str:
-    """Return a name of letters, digits and underscores."""
-    return _ODD.sub("_", name)
+def _to_text_name(name: str) -> str:
+    """Return the name with other characters replaced by underscores."""
+    return _NON_WORD_CHARACTERS.sub("_", name)
 
 
 class TextHandler(RequestHandler):
-    """Answer `GET /metrics` with the measurements as text."""
+    """Answer `GET /metrics` with the metrics as text."""
 
     def initialize(self, metrics: Metrics) -> None:
-        """Keep the measurements to read."""
+        """Store the metrics to serve."""
         self._metrics = metrics
 
     def get(self) -> None:
-        """Answer with the measurements of now."""
+        """Send the current metrics as text."""
         self.set_header("Content-Type", "text/plain; charset=utf-8")
         self.finish(to_text(self._metrics.snapshot()))
 
@@ -215,9 +222,9 @@
     """Answer `GET /v1/metrics` with a snapshot."""
 
     def initialize(self, metrics: Metrics) -> None:
-        """Keep the measurements to read."""
+        """Store the metrics to serve."""
         self._metrics = metrics
 
     def get(self) -> None:
-        """Answer with the snapshot of now."""
+        """Send a snapshot of the current metrics."""
         self.reply(self._metrics.snapshot())
--- a/src/balsamlift/operators.py
+++ b/src/balsamlift/operators.py
@@ -1,4 +1,4 @@
-"""The HTTP address for operators and peers."""
+"""HTTP server of the operators' address, which peers use as well."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class JsonHandler(RequestHandler):
-    """Answer in JSON."""
+    """Base class of request handlers that answer in JSON."""
 
     def reply(self, body: Any, status: int = 200) -> None:
-        """Send `body` as JSON."""
+        """Send `body` as JSON with an HTTP status."""
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
         self.finish(msgspec.json.encode(body))
@@ -28,14 +28,14 @@
 class OperatorsServer:
     """Serve the routes that other services add.
 
-    Listens from its construction, so that the port is known early;
+    The address is bound on construction, so that the port is known early;
     routes may be added at any time.
     """
 
     name = "operators"
 
     def __init__(self, address: str) -> None:
-        """Bind `address`, "IP:port"."""
+        """Bind `address` ("IP:port")."""
         ip, port = split_address(address)
         self._sockets = bind_sockets(port, ip)
         bound_port = self._sockets[0].getsockname()[1]
@@ -44,15 +44,15 @@
         self._server = HTTPServer(self._application)
 
     def add_routes(self, routes: Routes) -> None:
-        """Add (pattern, handler class, arguments of its initialize)."""
+        """Add routes of (pattern, handler class, keywords of `initialize`)."""
         self._application.add_handlers(r".*", list(routes))
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to accept connections."""
+        """Start accepting connections."""
         del kernel
         self._server.add_sockets(self._sockets)
 
     async def stop(self) -> None:
-        """Close the address and its connections."""
+        """Close the server and its connections."""
         self._server.stop()
         await self._server.close_all_connections()
--- a/src/balsamlift/settings.py
+++ b/src/balsamlift/settings.py
@@ -1,4 +1,4 @@
-"""What one daemon is told at its start."""
+"""Settings that a daemon reads when it starts."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 _MINUTE_MS = 60_000
 _HOUR_MS = 60 * _MINUTE_MS
 _GIBIBYTE = 1 << 30
-_LARGEST_SEED = (1 << 63) - 1
+_MAX_SEED = (1 << 63) - 1
 
 
 @attrs.frozen(kw_only=True)
 class PoolSettings:
-    """Describe the upstreams of one pool, as the operators know them."""
+    """Describe the upstreams of one pool and what they support."""
 
     kind: str = attrs.field(validator=one_of(*POOL_KINDS))
     checks_fence: bool = False
@@ -42,11 +42,11 @@
 
 @attrs.frozen(kw_only=True)
 class PlatformSettings:
-    """Say where the platform's services listen."""
+    """Hold the addresses of the platform's services and how to read them."""
 
     log_address: str = attrs.field(validator=remote_address)
     hosts_address: str = attrs.field(validator=remote_address)
-    # How long the log keeps a record; checkpoints are renewed well before.
+    # Retention of records in the log; checkpoints are renewed well before.
     log_retention_ms: int = attrs.field(
         default=600_000, validator=between(1_000, 30 * DAY_MS)
     )
@@ -56,8 +56,8 @@
     hosts_poll_ms: int = attrs.field(
         default=1_000, validator=between(10, _MINUTE_MS)
     )
-    # Hosts that read the list for all; the others go by what these tell, and
-    # read it themselves this often.
+    # Number of hosts that read the hosts list for all. The other hosts use
+    # what these send, and read the list themselves every `hosts_follow_ms`.
     hosts_readers: int = attrs.field(default=9, validator=between(1, 10_000))
     hosts_follow_ms: int = attrs.field(
         default=1_000, validator=between(10, _MINUTE_MS)
@@ -66,7 +66,7 @@
 
 @attrs.frozen(kw_only=True)
 class PeerSettings:
-    """Bound the traffic between hosts."""
+    """Limit the traffic between hosts."""
 
     heartbeat_ms: int = attrs.field(
         default=1_000, validator=between(10, _MINUTE_MS)
@@ -75,13 +75,14 @@
         default=4_000,
         validator=[between(20, _MINUTE_MS), longer_than("heartbeat_ms")],
     )
-    # Peers addressed per round; all of them at today's size.
+    # Peers that are sent a message per round; the default covers all peers of
+    # today's deployments.
     fan_out: int = attrs.field(default=8, validator=between(1, 1_000))
 
 
 @attrs.frozen(kw_only=True)
 class LimitSettings:
-    """Bound what one host holds."""
+    """Limit the memory, keys and streams of one host."""
 
     body_bytes: int = attrs.field(
         default=1_048_576, validator=between(1_024, _GIBIBYTE)
@@ -104,7 +105,7 @@
 
 @attrs.frozen(kw_only=True)
 class StreamSettings:
-    """Bound the silence on streams."""
+    """Limit how long streams may be silent."""
 
     heartbeat_ms: int = attrs.field(
         default=1_000, validator=between(10, _MINUTE_MS)
@@ -115,7 +116,7 @@
     connect_ms: int = attrs.field(
         default=1_000, validator=between(10, _MINUTE_MS)
     )
-    # Cancel the generation of a caller that is gone this long.
+    # Cancel a generation after its caller has been gone for this long.
     abandon_ms: int = attrs.field(
         default=15_000, validator=between(10, _HOUR_MS)
     )
@@ -123,36 +124,37 @@
 
 @attrs.frozen(kw_only=True)
 class OrderSettings:
-    """Bound the lease, the orders to engines and the loads they cause."""
+    """Configure the lease, the orders to engines and the model loads."""
 
     term_ms: int = attrs.field(
         default=10_000, validator=between(100, _HOUR_MS)
     )
-    # With less than this left, the holder renews its lease.
+    # The holder renews its lease when less than this is left.
     renew_ms: int = attrs.field(default=4_000, validator=between(50, _HOUR_MS))
-    # Between two looks at the lease.
+    # Interval between checks of the lease.
     look_ms: int = attrs.field(default=200, validator=between(1, _MINUTE_MS))
-    # Of the tries for a lapsed lease, per live host.
+    # Attempts to take an expired lease are spread over this time per live
+    # host.
     spread_ms: int = attrs.field(default=100, validator=between(1, _MINUTE_MS))
-    # An order waits no longer for its answer.
+    # Timeout of an order.
     send_ms: int = attrs.field(default=2_000, validator=between(10, _HOUR_MS))
-    # Of the lease, beyond `send_ms`.
+    # An order is sent only with `send_ms` and this much of the lease left.
     margin_ms: int = attrs.field(default=500, validator=between(10, _HOUR_MS))
-    # Between two sweeps over the engines of a pool.
+    # Interval between sweeps over the engines of a pool.
     sweep_ms: int = attrs.field(default=1_000, validator=between(1, _HOUR_MS))
-    # Between reading two engines.
+    # Pause between reading the states of two engines.
     read_ms: int = attrs.field(default=100, validator=between(1, _MINUTE_MS))
-    # Between reading one engine again while it loads.
+    # Interval between reads of the state of an engine that loads.
     poll_ms: int = attrs.field(default=200, validator=between(1, _MINUTE_MS))
-    # An order without effect is given again.
+    # An order without effect is sent again after this time.
     repeat_ms: int = attrs.field(default=3_000, validator=between(1, _HOUR_MS))
-    # An engine is waited for no longer.
+    # Timeout for an engine to reach the ordered state.
     load_ms: int = attrs.field(default=120_000, validator=between(1, DAY_MS))
-    # Per pool, and never all of its engines.
+    # Per pool; the engines of a pool never all load at the same time.
     loads_at_once: int = attrs.field(default=1, validator=between(1, 1_000))
 
     def __attrs_post_init__(self) -> None:
-        """Check that a lease is renewed while orders may still be given."""
+        """Check that a lease is renewed while orders may still be sent."""
         order_ms = self.send_ms + self.margin_ms
         if self.renew_ms <= order_ms:
             raise FieldError(
@@ -179,7 +181,7 @@
     callers_address: str = attrs.field(validator=address)
     operators_address: str = attrs.field(validator=address)
     peers_address: str = attrs.field(validator=address)
-    # Where counts of all hosts are gathered; by default any free port.
+    # Where the counts of all hosts are collected; by default any free port.
     counts_address: str = attrs.field(default="", validator=address_or_empty)
     region: str = attrs.field(default="region-1", validator=identifier)
     platform: PlatformSettings
@@ -196,14 +198,17 @@
     orders: OrderSettings = attrs.field(factory=OrderSettings)
     log_level: str = attrs.field(default="INFO", validator=one_of(*LOG_LEVELS))
     log_json: bool = False
-    # 0 draws a seed from the system's entropy.
-    seed: int = attrs.field(default=0, validator=between(0, _LARGEST_SEED))
+    # 0 uses a random seed from the operating system.
+    seed: int = attrs.field(default=0, validator=between(0, _MAX_SEED))
 
 
 def load_settings(file: str | Path) -> Settings:
-    """Return the settings in a file; raise `SettingsError`."""
-    # A daemon that is told its settings in another form starts without the
-    # parsers.
+    """Return the settings in a file.
+
+    Raises `SettingsError` for the first error.
+    """
+    # Imported here, so that a daemon that gets its settings in another form
+    # does not import the parsers.
     from balsamlift._loading import load
 
     return load(file, Settings)
--- a/src/balsamlift/status.py
+++ b/src/balsamlift/status.py
@@ -1,4 +1,4 @@
-"""What one host says of itself to operators."""
+"""The status that a host reports to operators."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen(kw_only=True)
 class HostStatus:
-    """Hold the state of one host."""
+    """Hold the status of one host."""
 
     host: str
     incarnation: str
@@ -27,17 +27,17 @@
 
 
 class Status:
-    """Serve the state of this host."""
+    """Serve the status of this host."""
 
     name = "status"
 
     def __init__(self, settings: Settings, home: Home) -> None:
-        """Keep who this is."""
+        """Store the settings and the identity of this host."""
         self._settings = settings
         self._home = home
 
     async def start(self, kernel: Kernel) -> None:
-        """Find what to tell of and add the route."""
+        """Look up the services to report on and add the route."""
         self._presets = kernel.find("presets", Presets)
         self._peers = kernel.find("peers", Peers)
         operators = kernel.find("operators", OperatorsServer)
@@ -45,10 +45,10 @@
         operators.add_routes([(r"/v1/status", StatusHandler, arguments)])
 
     async def stop(self) -> None:
-        """Do nothing: the route goes with its address."""
+        """Do nothing: the operators' server removes the route."""
 
-    def tell(self) -> HostStatus:
-        """Return the state now."""
+    def current(self) -> HostStatus:
+        """Return the current status."""
         in_force = self._presets.in_force()
         return HostStatus(
             host=self._home.host,
@@ -63,12 +63,12 @@
 
 
 class StatusHandler(JsonHandler):
-    """Answer the state of this host."""
+    """Answer `GET /v1/status` with the status of this host."""
 
     def initialize(self, status: Status) -> None:
-        """Keep what knows it."""
+        """Store the service to query."""
         self._status = status
 
     def get(self) -> None:
-        """Answer it."""
-        self.reply(self._status.tell())
+        """Send the current status."""
+        self.reply(self._status.current())
--- a/src/balsamlift/timeline.py
+++ b/src/balsamlift/timeline.py
@@ -1,4 +1,4 @@
-"""A time line of events, ordered by a hybrid logical clock."""
+"""A timeline of events, ordered by a hybrid logical clock."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class Event:
-    """Hold one thing that happened on one host."""
+    """Hold one event that occurred on one host."""
 
     stamp: str
     host: str
@@ -32,7 +32,10 @@
 
 
 def parse_stamp(stamp: str) -> StampKey:
-    """Return the milliseconds and the counter; raise `StampError`."""
+    """Return the milliseconds and the counter of a stamp.
+
+    Raises `StampError` if it is malformed.
+    """
     milliseconds, dot, counter = stamp.partition(".")
     digits = milliseconds + counter
     well_formed = dot and milliseconds and counter and digits.isdecimal()
@@ -50,12 +53,12 @@
 
 
 class Timeline:
-    """Stamp and keep the latest events of this host."""
+    """Stamp events and keep the latest ones of this host."""
 
     name = "timeline"
 
     def __init__(self, host: str, clock: Clock, capacity: int) -> None:
-        """Keep at most `capacity` events; the oldest go first."""
+        """Keep at most `capacity` events, dropping the oldest."""
         self._host = host
         self._clock = clock
         self._events: deque[Event] = deque(maxlen=capacity)
@@ -63,16 +66,16 @@
         self._counter = 0
 
     async def start(self, kernel: Kernel) -> None:
-        """Show the events to operators."""
+        """Add the route that serves the events to operators."""
         operators = kernel.find("operators", OperatorsServer)
         arguments = {"timeline": self}
         operators.add_routes([(r"/v1/timeline", TimelineHandler, arguments)])
 
     async def stop(self) -> None:
-        """Keep the events; there is nothing to end."""
+        """Do nothing: there is no work to end."""
 
     def stamp(self) -> str:
-        """Return a stamp later than each one given out or observed."""
+        """Return a stamp later than all stamps issued or observed."""
         now_ms = self._now_ms()
         if now_ms > self._milliseconds:
             self._milliseconds = now_ms
@@ -82,17 +85,17 @@
         return f"{self._milliseconds}.{self._counter}"
 
     def observe(self, stamp: str) -> None:
-        """Let later stamps follow `stamp`.
+        """Advance the clock, so that later stamps are greater than `stamp`.
 
-        Ignores what is no stamp, and what lies more than `MAX_DRIFT_MS`
-        ahead: one host with a wrong clock must not shift all the others.
+        Ignores malformed stamps and those more than `MAX_DRIFT_MS` ahead:
+        one host with a wrong clock must not shift all the others.
         """
         try:
             milliseconds, counter = parse_stamp(stamp)
         except StampError:
             return
-        too_far = milliseconds > self._now_ms() + MAX_DRIFT_MS
-        if too_far or counter > MAX_COUNTER:
+        is_too_far_ahead = milliseconds > self._now_ms() + MAX_DRIFT_MS
+        if is_too_far_ahead or counter > MAX_COUNTER:
             return
         if (milliseconds, counter) > (self._milliseconds, self._counter):
             self._milliseconds = milliseconds
@@ -101,17 +104,17 @@
     def record(
         self, kind: str, *, request: str = "", **detail: Detail
     ) -> None:
-        """Keep one event, stamped now."""
+        """Record one event with a new stamp."""
         event = Event(self.stamp(), self._host, kind, request, detail)
         self._events.append(event)
 
     def events(
         self, request: str = "", kind: str = "", since: str = ""
     ) -> list[Event]:
-        """Return the events kept, oldest first.
+        """Return the recorded events that match, oldest first.
 
-        An empty text leaves that filter out; `since` is a stamp and itself
-        excluded. Raises `StampError`.
+        An empty filter matches all events; `since` is an exclusive stamp.
+        Raises `StampError`.
         """
         after = parse_stamp(since) if since else (-1, 0)
         return [
@@ -130,11 +133,11 @@
     """Answer `GET /v1/timeline` with a list of events."""
 
     def initialize(self, timeline: Timeline) -> None:
-        """Keep the time line to read."""
+        """Store the timeline to read."""
         self._timeline = timeline
 
     def get(self) -> None:
-        """Filter by the arguments request, kind and since."""
+        """Send the events that match the arguments request, kind and since."""
         try:
             events = self._timeline.events(
                 self.get_query_argument("request", ""),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings that every test shares."""
+"""Hypothesis settings of all tests: reproducible and without deadlines."""
 
 from hypothesis import settings
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Run the command line in this process."""
+"""The command line, run in the test process unless noted otherwise."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 OTHER_ENTRY = str(
     EXAMPLES.parent / "mitad-del-mundo" / "hosts" / "entry-1.json5"
 )
-NOBODY = "127.0.0.1:1"  # no process of ours listens there
-END_S = 60.0
+UNUSED_ADDRESS = "127.0.0.1:1"  # no test listens on this port
+EXIT_TIMEOUT_S = 60.0
 COMMANDS = (
     "serve",
     "preset",
@@ -65,23 +65,29 @@
         ["serve", ORDINARY],
         ["preset", "check", ENTRY],
         ["preset", "check", ORDINARY, f"--settings={OTHER_ENTRY}"],
-        ["preset", "publish", ENTRY, f"--log={NOBODY}"],
+        ["preset", "publish", ENTRY, f"--log={UNUSED_ADDRESS}"],
         ["preset", "switch", "peak", "--log=localhost:7000"],
-        ["preset", "switch", "peak", f"--log={NOBODY}", "--expect=two"],
+        [
+            "preset",
+            "switch",
+            "peak",
+            f"--log={UNUSED_ADDRESS}",
+            "--expect=two",
+        ],
         ["hosts"],
         ["hosts", "--at=localhost:7101"],
-        ["timeline", f"--at={NOBODY}", "--since=today"],
-        ["request", f"--at={NOBODY}", "--workspace=w"],
+        ["timeline", f"--at={UNUSED_ADDRESS}", "--since=today"],
+        ["request", f"--at={UNUSED_ADDRESS}", "--workspace=w"],
         [
             "request",
-            f"--at={NOBODY}",
+            f"--at={UNUSED_ADDRESS}",
             "--workspace=w",
             "--kind=lookup",
             "--payload={",
         ],
     ],
 )
-def test_wrong_usage_is_told_with_code_2(
+def test_wrong_usage_exits_with_code_2(
     argv: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(argv) == 2
@@ -93,13 +99,15 @@
 def test_errors_are_json_when_asked_for(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    assert main(["hosts", f"--at={NOBODY}", "--json"]) == 1
+    assert main(["hosts", f"--at={UNUSED_ADDRESS}", "--json"]) == 1
     error = json.loads(capsys.readouterr().err)
     assert error["error"] == "HostReadError"
-    assert NOBODY in error["message"]
+    assert UNUSED_ADDRESS in error["message"]
 
 
-def test_checks_of_files_pass(capsys: pytest.CaptureFixture[str]) -> None:
+def test_valid_files_pass_their_checks(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     assert main(["serve", "--check", ENTRY]) == 0
     capsys.readouterr()
     code, body = run_json(
@@ -108,7 +116,7 @@
     assert (code, body) == (0, {"valid": ["ordinary"]})
 
 
-def test_serve_tells_a_port_in_use(
+def test_serve_reports_a_port_in_use(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def run_daemon(settings: Any) -> None:
@@ -145,17 +153,19 @@
         ("superseded", 4),
     ],
 )
-def test_switch_tells_its_fate_by_the_exit_code(
+def test_switch_reports_its_result_by_the_exit_code(
     state: str, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
         _preset, "Operator", lambda address: FakeOperator(state)
     )
-    assert main(["preset", "switch", "peak", f"--log={NOBODY}"]) == code
+    assert (
+        main(["preset", "switch", "peak", f"--log={UNUSED_ADDRESS}"]) == code
+    )
 
 
 class FakeClient:
-    """Give one outcome after two tokens."""
+    """Return one outcome after two tokens."""
 
     def __init__(self, outcome: str) -> None:
         self.outcome = outcome
@@ -176,7 +186,7 @@
     ("outcome", "code"),
     [("whole", 0), ("refused", 1), ("failed", 1), ("unknown", 3)],
 )
-def test_request_prints_tokens_and_tells_the_outcome(
+def test_request_prints_tokens_and_reports_the_outcome(
     outcome: str,
     code: int,
     monkeypatch: pytest.MonkeyPatch,
@@ -185,23 +195,24 @@
     monkeypatch.setattr(
         _request, "Client", lambda *_, **__: FakeClient(outcome)
     )
-    argv = ["request", f"--at={NOBODY}", "--workspace=manuscripts"]
+    argv = ["request", f"--at={UNUSED_ADDRESS}", "--workspace=manuscripts"]
     argv += ["--kind=report", "Scroll 12."]
     assert main(argv) == code
     captured = capsys.readouterr()
     assert captured.out == "Water stain?.\n"
     assert outcome in captured.err
-    told, body = run_json(capsys, *argv)
-    assert (told, body["text"]) == (code, "Water stain\x1b.")
+    json_code, body = run_json(capsys, *argv)
+    assert (json_code, body["text"]) == (code, "Water stain\x1b.")
     assert body["outcome"]["outcome"] == outcome
 
 
 def test_request_ends_when_no_host_answers() -> None:
-    # A process, as a client on the wrong event loop waits for ever.
-    argv = ["balsamlift", "request", f"--at={NOBODY}"]
+    # In a process of its own, as a client that is bound to the wrong event
+    # loop waits forever.
+    argv = ["balsamlift", "request", f"--at={UNUSED_ADDRESS}"]
     argv += ["--workspace=manuscripts", "--kind=report", "Scroll 12."]
     with Process(argv) as process:
-        assert process.wait(END_S) == 1
+        assert process.wait(EXIT_TIMEOUT_S) == 1
         assert "no host gave an address" in process.output
 
 
--- a/tests/test_cli_logs.py
+++ b/tests/test_cli_logs.py
@@ -1,4 +1,4 @@
-"""Reading the logs of several hosts as one."""
+"""The command `logs` merges and filters the log files of several hosts."""
 
 import json
 from pathlib import Path
@@ -7,12 +7,12 @@
 
 from balsamlift.cli import main
 
-DAY = "2026-07-01T10:02:"
+MINUTE = "2026-07-01T10:02:"
 
 
 def line(second: str, host: str, message: str, **details: str) -> str:
     fields = {
-        "time": f"{DAY}{second}+00:00",
+        "time": f"{MINUTE}{second}+00:00",
         "level": "INFO",
         "part": "relay",
         "host": host,
@@ -44,7 +44,7 @@
     return paths
 
 
-def shown(capsys: pytest.CaptureFixture[str]) -> list[str]:
+def printed_messages(capsys: pytest.CaptureFixture[str]) -> list[str]:
     return [entry["message"] for entry in json.loads(capsys.readouterr().out)]
 
 
@@ -55,7 +55,7 @@
         (["--request=r1"], ["move: copied", "answered 200"]),
         (["--upstream=i-1"], ["answered 200", "i-1 is leaving"]),
         (["--host=h2"], ["move: copied", "i-1 is leaving"]),
-        ([f"--from={DAY}13", f"--to={DAY}14"], ["answered 200"]),
+        ([f"--from={MINUTE}13", f"--to={MINUTE}14"], ["answered 200"]),
     ],
 )
 def test_merges_and_filters(
@@ -65,15 +65,17 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     assert main(["logs", *files, *options, "--json"]) == 0
-    found = [message.removesuffix(" (list)") for message in shown(capsys)]
+    found = [
+        message.removesuffix(" (list)") for message in printed_messages(capsys)
+    ]
     assert found == expected
 
 
-def test_says_that_nothing_was_found(files: list[str]) -> None:
+def test_fails_when_no_line_matches(files: list[str]) -> None:
     assert main(["logs", *files, "--request=none"]) == 1
 
 
-def test_names_a_file_that_cannot_be_read() -> None:
+def test_rejects_a_file_that_cannot_be_read() -> None:
     assert main(["logs", "/nowhere/at/all"]) == 2
 
 
--- a/tests/test_cli_views.py
+++ b/tests/test_cli_views.py
@@ -1,4 +1,4 @@
-"""Run the commands that read from hosts, against hosts in a thread."""
+"""The commands that read from hosts, run against hosts in threads."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from test_cli import NOBODY, run_json
+from test_cli import UNUSED_ADDRESS, run_json
 
 from balsamlift.cli import main
 from balsamlift.clock import SystemClock
@@ -17,7 +17,7 @@
 from balsamlift.operators import JsonHandler, OperatorsServer, Routes
 from balsamlift.timeline import Timeline
 
-START_S = 30.0
+START_TIMEOUT_S = 30.0
 
 
 class FixedHandler(JsonHandler):
@@ -29,18 +29,18 @@
 
 
 class Host:
-    """Show a time line, measurements and fixed tables in a thread."""
+    """Serve a timeline, metrics and fixed tables from a thread."""
 
     def __init__(self, name: str) -> None:
         self.timeline = Timeline(name, SystemClock(), 100)
         self.metrics = Metrics()
-        self._up = threading.Event()
+        self._started = threading.Event()
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
-        assert self._up.wait(START_S)
+        assert self._started.wait(START_TIMEOUT_S)
 
-    def show(self, path: str, body: Any) -> None:
+    def serve(self, path: str, body: Any) -> None:
         routes: Routes = [(path, FixedHandler, {"body": body})]
         self._loop.call_soon_threadsafe(self._server.add_routes, routes)
 
@@ -51,7 +51,7 @@
     def _run(self) -> None:
         asyncio.set_event_loop(self._loop)
         self._loop.run_until_complete(self._start())
-        self._up.set()
+        self._started.set()
         self._loop.run_forever()
         self._loop.run_until_complete(self._kernel.stop())
         self._loop.close()
@@ -73,7 +73,7 @@
         {"host": "entry-2", "operators_address": both[1].address},
     ]
     for host in both:
-        host.show("/v1/hosts", listed)
+        host.serve("/v1/hosts", listed)
     yield both
     for host in both:
         host.close()
@@ -99,15 +99,15 @@
     assert body["events"] == []
 
 
-def test_an_unanswered_host_is_told_and_the_rest_shown(
+def test_an_unreachable_host_is_reported_and_the_rest_shown(
     hosts: list[Host], capsys: pytest.CaptureFixture[str]
 ) -> None:
     hosts[0].timeline.record("accepted")
-    at = [f"--at={hosts[0].address}", f"--at={NOBODY}"]
+    at = [f"--at={hosts[0].address}", f"--at={UNUSED_ADDRESS}"]
     code, body = run_json(capsys, "timeline", *at)
     assert code == 1
     assert len(body["events"]) == 1
-    assert list(body["unanswered"]) == [NOBODY]
+    assert list(body["unanswered"]) == [UNUSED_ADDRESS]
 
 
 def test_metrics_merge_histograms(
@@ -127,13 +127,15 @@
     assert "requests.whole" in capsys.readouterr().out
 
 
-def test_upstreams_stand_apart_where_hosts_differ(
+def test_upstream_rows_that_differ_are_shown_separately(
     hosts: list[Host], capsys: pytest.CaptureFixture[str]
 ) -> None:
     first, second = hosts
     same = {"name": "engine-1", "state": "live"}
-    first.show("/v1/upstreams", [same, {"name": "engine-2", "state": "live"}])
-    second.show("/v1/upstreams", [same, {"name": "engine-2", "state": "dead"}])
+    first.serve("/v1/upstreams", [same, {"name": "engine-2", "state": "live"}])
+    second.serve(
+        "/v1/upstreams", [same, {"name": "engine-2", "state": "dead"}]
+    )
     at = [f"--at={first.address}", f"--at={second.address}"]
     code, body = run_json(capsys, "upstreams", *at)
     assert code == 0
@@ -150,7 +152,7 @@
 def test_table_shows_no_control_characters(
     hosts: list[Host], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    hosts[0].show("/v1/upstreams", [{"name": "engine\x1b[2J"}])
+    hosts[0].serve("/v1/upstreams", [{"name": "engine\x1b[2J"}])
     assert main(["upstreams", f"--at={hosts[0].address}"]) == 0
     assert "\x1b" not in capsys.readouterr().out
 
@@ -165,7 +167,7 @@
     }
     newer = {**preset, "kinds": {"tag": {"pool": "drafting"}}}
     switched = {"generation": 1, "name": "ordinary", "version": 1}
-    hosts[0].show(
+    hosts[0].serve(
         "/v1/presets",
         {
             "offset": 4,
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The client library: streams, coming back, asking again."""
+"""The client library: reading streams, resuming them and retrying."""
 
 import asyncio
 import json
@@ -28,7 +28,7 @@
 
 @contextmanager
 def raw_server(answer):
-    """Send the same bytes to every connection, in one piece."""
+    """Send the same bytes to every connection with one call."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve():
@@ -74,12 +74,12 @@
 @pytest.mark.parametrize(
     "sent", [b"event: \xff\n\n", b"data: " + b"x" * (5 << 20)]
 )
-def test_what_is_no_event_ends_the_stream(sent):
+def test_an_invalid_event_ends_the_stream(sent):
     with raw_server(head() + sent) as url, pytest.raises(FrameError):
         asyncio.run(read(url))
 
 
-def test_the_parser_holds_no_more_than_its_bound():
+def test_the_parser_limits_the_size_of_an_event():
     parser = EventParser(max_event_bytes=40)
     assert len(list(parser.feed(ONE_EVENT * 3))) == 3
     with pytest.raises(EventTooLongError):
@@ -87,14 +87,14 @@
 
 
 class ScriptedHost:
-    """A host that gives one address list and scripted answers."""
+    """A host that returns one list of addresses and scripted answers."""
 
     def __init__(self, *answers, places=None, keep_ms=60_000):
         self.answers = list(answers)
         self.posts = []
-        self.address_asks = 0
+        self.address_requests = 0
         self.keep_ms = keep_ms
-        self._server = ThreadingHTTPServer(("127.0.0.1", 0), _Handler)
+        self._server = ThreadingHTTPServer(("127.0.0.1", 0), _ScriptedHandler)
         self._server.daemon_threads = True
         self._server.host = self
         self.address = f"127.0.0.1:{self._server.server_port}"
@@ -114,10 +114,10 @@
         return [body["key"] for body in self.posts]
 
 
-class _Handler(BaseHTTPRequestHandler):
+class _ScriptedHandler(BaseHTTPRequestHandler):
     def do_GET(self):
         host = self.server.host
-        host.address_asks += 1
+        host.address_requests += 1
         found = {"keep_ms": host.keep_ms, "addresses": host.places}
         self._send(200, json.dumps(found).encode())
 
@@ -127,7 +127,7 @@
         host.posts.append(json.loads(self.rfile.read(length)))
         answers = host.answers
         answer = answers.pop(0) if len(answers) > 1 else answers[0]
-        if answer is not LOSE:
+        if answer is not CLOSE:
             self._send(*answer)
 
     def _send(self, status, body):
@@ -148,11 +148,15 @@
     }
 
 
-def stream_of(tokens, told):
-    """Return the answer that streams tokens and then `told`."""
+def stream_of(tokens, digest_tokens):
+    """Return an answer with `tokens` and the digest of `digest_tokens`."""
     start = {"generation": "g", "upstream": "u"}
     frame = {"generation": "g", "index": 0, "tokens": tokens}
-    end = {"outcome": "whole", "tokens": len(tokens), "digest": digest(told)}
+    end = {
+        "outcome": "whole",
+        "tokens": len(tokens),
+        "digest": digest(digest_tokens),
+    }
     events = [("start", start), ("token", frame), ("end", end)]
     return 200, b"".join(encode_event(*event) for event in events)
 
@@ -167,13 +171,13 @@
     return status, json.dumps({"error": code, "message": "m"}).encode()
 
 
-LOSE = object()  # take the request and close the connection
+CLOSE = object()  # read the request and close the connection without an answer
 WHOLE = stream_of(["a", "b"], ["a", "b"])
-KIND = Request(kind="report", deadline_ms=20_000)
+REQUEST = Request(kind="report", deadline_ms=20_000)
 
 
-def run(host, request=KIND, **options):
-    """Return (outcome, tokens, keys told) of one request."""
+def run(host, request=REQUEST, **options):
+    """Run one request; return its outcome, its tokens and its keys."""
     tokens = []
     keys = []
 
@@ -196,15 +200,15 @@
         return super().monotonic() + self.shift_s
 
 
-def test_addresses_are_kept_for_the_time_told():
+def test_addresses_are_cached_for_the_time_given():
     clock = ShiftedClock()
 
     async def work(host):
         client = Client([host.address], workspace="w", clock=clock)
-        for shift_s, asks in ((0.0, 1), (59.0, 1), (61.0, 2)):
+        for shift_s, requests in ((0.0, 1), (59.0, 1), (61.0, 2)):
             clock.shift_s = shift_s
             await client.places()
-            assert host.address_asks == asks
+            assert host.address_requests == requests
         client.close()
 
     with ScriptedHost(WHOLE) as host:
@@ -212,13 +216,13 @@
 
 
 def free_address():
-    """Return an address where nothing listens."""
+    """Return an address on which nothing listens."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         ip, port = listener.getsockname()
     return f"{ip}:{port}"
 
 
-def test_another_host_and_key_is_taken_when_nothing_left():
+def test_another_host_and_key_are_used_if_nothing_was_sent():
     with ScriptedHost(WHOLE) as host:
         host.places.insert(0, place("host-9", free_address()))
         outcome, tokens, keys = run(host)
@@ -227,14 +231,14 @@
     assert host.keys == keys[1:]
 
 
-def test_the_key_stays_once_a_byte_may_have_left():
-    with ScriptedHost(LOSE, LOSE, WHOLE) as host:
+def test_the_key_is_kept_once_a_byte_may_have_been_sent():
+    with ScriptedHost(CLOSE, CLOSE, WHOLE) as host:
         outcome, tokens, keys = run(host)
     assert (outcome.outcome, tokens) == ("whole", ["a", "b"])
     assert host.keys == keys * 3
 
 
-def test_an_unknown_fate_is_asked_for_again_under_the_same_key():
+def test_an_unknown_outcome_is_asked_for_again_with_the_same_key():
     with ScriptedHost(unknown(20), unknown(20), WHOLE) as host:
         outcome, _, keys = run(host)
     assert outcome.outcome == "whole"
@@ -249,7 +253,7 @@
     assert host.keys == keys * posts
 
 
-def test_a_wrong_request_is_refused_and_not_sent_again():
+def test_an_invalid_request_is_refused_and_not_sent_again():
     with ScriptedHost(error(403, "workspace_unknown")) as host:
         outcome, _, _ = run(host, attempts=3)
     assert (outcome.outcome, outcome.reason) == (
@@ -259,8 +263,8 @@
     assert len(host.posts) == 1
 
 
-def test_an_error_after_a_lost_try_proves_nothing():
-    with ScriptedHost(LOSE, error(403, "workspace_unknown")) as host:
+def test_an_error_after_a_lost_attempt_leaves_the_outcome_unknown():
+    with ScriptedHost(CLOSE, error(403, "workspace_unknown")) as host:
         outcome, _, _ = run(host)
     assert (outcome.outcome, outcome.reason) == (
         "unknown",
@@ -268,7 +272,7 @@
     )
 
 
-def test_other_tokens_than_the_digest_tells_are_not_whole():
+def test_tokens_that_do_not_match_the_digest_are_not_whole():
     with ScriptedHost(stream_of(["a", "b"], ["a", "c"])) as host:
         outcome, _, _ = run(host)
     assert (outcome.outcome, outcome.reason) == ("failed", "digest_wrong")
@@ -277,8 +281,9 @@
 class LinkedClient(Client):
     """Reach every host through its link, host-1 first.
 
-    Host-2 keeps answers for 300 ms only: a caller that notices after three
-    seconds that its connection is silent rightly finds them expired there.
+    Host-1 comes first because host-2 keeps answers for 300 ms only: a caller
+    that detects a silent connection after three seconds finds them expired
+    there, as it should.
     """
 
     def __init__(self, links, **options):
@@ -312,11 +317,11 @@
 
 
 @pytest.mark.parametrize("fault", ["cut", "silence_existing"])
-def test_a_lost_connection_costs_no_token(world, links, fault):
+def test_a_lost_connection_loses_no_token(world, links, fault):
     tokens = []
     keys = []
 
-    def take(added):
+    def on_tokens(added):
         if len(tokens) < 50 <= len(tokens) + len(added):
             name = keys[0].split("~")[0]
             home = world.hosts[int(name[-1]) - 1]
@@ -328,7 +333,7 @@
         client = LinkedClient(links, workspace="museum")
         request = Request(kind="report", prompt="[length=800]")
         try:
-            return await client.run(request, take, on_key=keys.append)
+            return await client.run(request, on_tokens, on_key=keys.append)
         finally:
             client.close()
 
--- a/tests/test_embedding.py
+++ b/tests/test_embedding.py
@@ -1,4 +1,4 @@
-"""The example of docs/EMBEDDING.md does what the page says."""
+"""The example of docs/EMBEDDING.md works as the page describes."""
 
 import runpy
 from pathlib import Path
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Check that the settings and presets of both deployments fit together."""
+"""The settings and presets of both example deployments are consistent."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 HOSTS = {"warisan-pulih": 7, "mitad-del-mundo": 9}
-ONCE = {
+NON_IDEMPOTENT_KINDS = {
     "warisan-pulih": {"tag"},
     "mitad-del-mundo": {"claim", "refund"},
 }
@@ -84,8 +84,10 @@
     preset = load_preset(deployment, name)
     assert preset.name == name
     assert len(preset.workspaces) == 10
-    once = {k for k, kind in preset.kinds.items() if not kind.idempotent}
-    assert once == ONCE[deployment]
+    non_idempotent = {
+        k for k, kind in preset.kinds.items() if not kind.idempotent
+    }
+    assert non_idempotent == NON_IDEMPOTENT_KINDS[deployment]
     for host in load_hosts(deployment):
         check_pools(preset, host.pools)
 
@@ -112,10 +114,10 @@
     assert len(engines) == 5
     assert len(services) == 3
     for engine in engines:
-        wanted = ordinary.pools[engine.pool]
+        pool_preset = ordinary.pools[engine.pool]
         assert (engine.model, engine.version) == (
-            wanted.model,
-            wanted.version,
+            pool_preset.model,
+            pool_preset.version,
         )
         assert engine.checks_fence == pools[engine.pool].checks_fence
         assert engine.tells_by_key == pools[engine.pool].tells_by_key
--- a/tests/test_log_sink.py
+++ b/tests/test_log_sink.py
@@ -1,4 +1,4 @@
-"""Log lines: never waited for, never lost without a word."""
+"""Writing log lines never blocks, and dropped lines are counted."""
 
 import asyncio
 import os
@@ -30,13 +30,13 @@
     return b"".join(parts)
 
 
-def test_a_reader_that_stops_holds_nothing_up(
+def test_a_stalled_reader_blocks_no_writer(
     pipe: tuple[int, int],
 ) -> None:
     reader, writer = pipe
 
     async def test() -> None:
-        sink = LogSink(writer, most_bytes=10_000)
+        sink = LogSink(writer, max_bytes=10_000)
         for _ in range(5_000):
             sink.write(LINE)  # 500 KB; a pipe holds 64 KB
         assert sink.dropped > 0
@@ -51,7 +51,7 @@
     asyncio.run(asyncio.wait_for(test(), 15))
 
 
-def test_lines_leave_at_once_and_in_order(pipe: tuple[int, int]) -> None:
+def test_lines_are_written_at_once_and_in_order(pipe: tuple[int, int]) -> None:
     reader, writer = pipe
     sink = LogSink(writer)
     for number in range(10):
@@ -59,7 +59,7 @@
     assert read_all(reader).decode().split() == [str(n) for n in range(10)]
 
 
-def test_a_reader_that_is_gone_is_no_error() -> None:
+def test_a_closed_reader_is_no_error() -> None:
     reader, writer = os.pipe()
     sink = LogSink(writer)
     os.close(reader)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -49,14 +49,14 @@
 
 
 @pytest.mark.parametrize("as_json", [False, True])
-def test_a_line_end_in_a_message_begins_no_new_line(as_json: bool) -> None:
+def test_a_line_end_in_a_message_starts_no_new_line(as_json: bool) -> None:
     sink = io.StringIO()
     logs.configure("INFO", json=as_json, sink=sink)
     logger.info("Bad kind {}.", "report\n2026 INFO entry-1 peers: forged")
     assert len(sink.getvalue().splitlines()) == 1
 
 
-def test_an_exception_shows_no_local_values() -> None:
+def test_a_traceback_shows_no_local_values() -> None:
     sink = io.StringIO()
     logs.configure("INFO", sink=sink)
     token = "bearer-4711"
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -17,7 +17,7 @@
 from balsamlift.operators import OperatorsServer
 
 
-def test_merges_hosts() -> None:
+def test_merges_the_metrics_of_hosts() -> None:
     hosts = [Metrics(), Metrics()]
     for number, host in enumerate(hosts):
         host.count("requests", 2)
@@ -34,7 +34,7 @@
     assert gap.max_ms == pytest.approx(1_000, rel=0.01)
 
 
-def test_names_are_bounded() -> None:
+def test_the_number_of_names_is_limited() -> None:
     metrics = Metrics()
     for number in range(MAX_NAMES + 10):
         metrics.count(f"c{number}")
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("value", [-1.0, 0.0, 1e12])
-def test_values_out_of_range_are_kept_at_the_bound(value: float) -> None:
+def test_values_out_of_range_are_clamped(value: float) -> None:
     metrics = Metrics()
     metrics.observe_ms("gap_ms", value)
     summary = merge_snapshots([metrics.snapshot()])
@@ -75,7 +75,7 @@
     asyncio.run(scenario())
 
 
-def test_text_has_one_measurement_a_line() -> None:
+def test_text_has_one_metric_per_line() -> None:
     metrics = Metrics()
     metrics.count("relay.answered 200", 3)
     metrics.gauge("peers.live", 8)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -26,16 +26,16 @@
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
-    """Return the valid settings with one field set, or with ... dropped."""
+    """Return VALID with the field at `path` set, or removed if it is `...`."""
     whole = copy.deepcopy(VALID)
     *parents, last = path.split(".")
-    place = whole
-    for step in parents:
-        place = place.setdefault(step, {})
+    parent = whole
+    for name in parents:
+        parent = parent.setdefault(name, {})
     if value is ...:
-        del place[last]
+        del parent[last]
     else:
-        place[last] = value
+        parent[last] = value
     return whole
 
 
@@ -79,7 +79,7 @@
         ("log_level", "info", 'one of "TRACE", "DEBUG", "INFO"'),
     ],
 )
-def test_structure_names_the_fault(
+def test_structure_reports_the_invalid_field(
     path: str, value: Any, expected: str
 ) -> None:
     with pytest.raises(SettingsError) as caught:
@@ -90,14 +90,14 @@
 
 
 @pytest.mark.parametrize("whole", [None, 5, [], "text", {7: "key"}])
-def test_structure_refuses_what_is_no_object(whole: Any) -> None:
+def test_structure_rejects_non_objects(whole: Any) -> None:
     with pytest.raises(SettingsError) as caught:
         structure(whole, Settings)
     assert caught.value.path == "(whole)"
 
 
 @attrs.frozen(kw_only=True)
-class Shape:
+class Example:
     factor: float = 1.0
     words: list[str] = attrs.field(factory=list)
 
@@ -117,9 +117,9 @@
     whole: dict[str, Any], path: str
 ) -> None:
     with pytest.raises(SettingsError) as caught:
-        structure(whole, Shape)
+        structure(whole, Example)
     assert caught.value.path == path
-    assert structure({"factor": 2}, Shape).factor == 2.0
+    assert structure({"factor": 2}, Example).factor == 2.0
 
 
 def test_load_reads_comments(tmp_path: Path) -> None:
@@ -132,7 +132,7 @@
     "text",
     ["{kind: 'engine'", "{kind: 'engine', kind: 'service'}", "", "[" * 9_999],
 )
-def test_load_refuses_what_is_no_json(tmp_path: Path, text: str) -> None:
+def test_load_rejects_invalid_json(tmp_path: Path, text: str) -> None:
     file = tmp_path / "pool.json5"
     file.write_text(text)
     with pytest.raises(SettingsError) as caught:
@@ -141,7 +141,7 @@
     assert caught.value.path == "(whole)"
 
 
-def test_load_tells_a_missing_file(tmp_path: Path) -> None:
+def test_load_reports_a_missing_file(tmp_path: Path) -> None:
     with pytest.raises(SettingsError) as caught:
         load(tmp_path / "absent.json5", PoolSettings)
     assert "absent.json5" in caught.value.file
--- a/tests/test_settings_page.py
+++ b/tests/test_settings_page.py
@@ -1,4 +1,4 @@
-"""Check docs/SETTINGS.md against the code, row by row."""
+"""docs/SETTINGS.md lists every field with its default and range."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 ]
 SECTION = re.compile(r"^### `(\w+)`.*?(?=^##|\Z)", re.DOTALL | re.MULTILINE)
 ROW = re.compile(r"^\| `(\w+)` \| (.+?) \| (.+?) \| .+ \|$", re.MULTILINE)
-# The words of a range, the values it takes and those it does not.
+# The notations of a range; values_of returns values inside and outside.
 TO = re.compile(r"(\d+) to (\d+)(?:, above `\w+`)?")
 OR_MORE = re.compile(r"(\d+) or more")
 ABOVE = re.compile(r"above (\d+)")
@@ -73,7 +73,7 @@
 
 
 def values_of(words: str) -> tuple[list[float], list[float]]:
-    """Return values inside and outside of a range in words."""
+    """Return values inside and values outside of a range given as text."""
     if match := TO.fullmatch(words):
         low, high = map(int, match.groups())
         return [low, high], [low - 1, high + 1]
@@ -108,7 +108,9 @@
     cls: type[Any], field: attrs.Attribute[Any]
 ) -> None:
     inside, outside = values_of(sections[cls.__name__][field.name][1])
-    instance = PeerSettings(heartbeat_ms=10)  # where a field is compared
+    instance = PeerSettings(
+        heartbeat_ms=10
+    )  # for validators that compare two fields
     check = field.validator
     assert check is not None
     for value in inside:
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks end, also those that miss a cancellation."""
+"""Tasks end even if a cancellation of theirs is lost."""
 
 import asyncio
 
@@ -7,39 +7,39 @@
 
 from balsamlift._tasks import end_task
 
-DEADLINE_S = 20.0
+TIMEOUT_S = 20.0
 
 
-async def miss_cancellations(number: int) -> None:
-    """Go on after so many cancellations, as after an error of a call."""
-    missed = 0
+async def ignore_cancellations(number: int) -> None:
+    """Ignore the first `number` cancellations, as if each one were lost."""
+    ignored = 0
     while True:
         try:
             await asyncio.sleep(3_600)
         except asyncio.CancelledError:
-            missed += 1
-            if missed > number:
+            ignored += 1
+            if ignored > number:
                 raise
 
 
 @pytest.mark.parametrize("number", [0, 1, 3])
-def test_a_task_that_misses_cancellations_ends(number: int) -> None:
-    """Before, one that was missed was waited for without end."""
+def test_a_task_that_ignores_cancellations_ends(number: int) -> None:
+    """Guard against waiting forever after a lost cancellation."""
 
     async def main() -> None:
-        task = asyncio.create_task(miss_cancellations(number))
+        task = asyncio.create_task(ignore_cancellations(number))
         await asyncio.sleep(0)
-        async with asyncio.timeout(DEADLINE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await end_task(task)
         assert task.cancelled()
 
     asyncio.run(main())
 
 
-def test_a_question_that_times_out_when_cancelled_ends() -> None:
-    """The library then tells of the timeout, and the cancellation is lost."""
+def test_a_request_that_times_out_when_cancelled_ends() -> None:
+    """The library then raises `Timeout`, and the cancellation is lost."""
 
-    async def ask_again_and_again(req: pynng.Req0) -> None:
+    async def send_requests(req: pynng.Req0) -> None:
         while True:
             try:
                 with req.new_context() as context:
@@ -52,18 +52,18 @@
         req = pynng.Req0(recv_timeout=5, send_timeout=5)
         req.dial("tcp://127.0.0.1:9", block=False)
         for n in range(100):
-            task = asyncio.create_task(ask_again_and_again(req))
+            task = asyncio.create_task(send_requests(req))
             await asyncio.sleep(0.004 + n * 0.000_02)
-            async with asyncio.timeout(DEADLINE_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 await end_task(task)
         req.close()
 
     asyncio.run(main())
 
 
-def test_the_cancellation_of_who_waits_is_not_swallowed() -> None:
+def test_the_cancellation_of_the_waiting_task_is_not_swallowed() -> None:
     async def main() -> None:
-        task = asyncio.create_task(miss_cancellations(1))
+        task = asyncio.create_task(ignore_cancellations(1))
         await asyncio.sleep(0)
         waiting = asyncio.create_task(end_task(task))
         await asyncio.sleep(0)
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -22,7 +22,7 @@
 
 
 class ShiftedClock(SystemClock):
-    """A clock that stands still, `offset_ms` off."""
+    """A clock that is stopped, `offset_ms` away from the true time."""
 
     def __init__(self, offset_ms: int = 0) -> None:
         self.offset_ms = offset_ms
@@ -33,7 +33,11 @@
 
 
 class Hosts(RuleBasedStateMachine):
-    """Three hosts with wrong clocks send each other stamped messages."""
+    """Three hosts with wrong clocks exchange stamped messages.
+
+    The merged timeline must have each message sent before it is received and
+    keep the order of each host.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -76,7 +80,7 @@
     "text",
     ["", "x", "12", "12.", ".3", "-1.0", "1.2.3", "9" * 50 + ".0", "1.-2"],
 )
-def test_bad_stamps_are_ignored(text: str) -> None:
+def test_malformed_stamps_are_ignored(text: str) -> None:
     host = Timeline("h", ShiftedClock(), 10)
     before = parse_stamp(host.stamp())
     host.observe(text)
@@ -95,7 +99,7 @@
     assert (parse_stamp(host.stamp())[0] > now_ms) is taken
 
 
-def test_ring_is_bounded_and_filters() -> None:
+def test_events_are_bounded_and_filtered() -> None:
     host = Timeline("h", ShiftedClock(), 3)
     for number in range(5):
         host.record("even" if number % 2 == 0 else "odd", request=str(number))
@@ -106,7 +110,7 @@
     assert host.events(since=kept[1].stamp) == [kept[2]]
 
 
-def test_operators_read_the_time_line() -> None:
+def test_operators_read_the_timeline() -> None:
     async def scenario() -> None:
         kernel = Kernel()
         operators = OperatorsServer("127.0.0.1:0")
