--- a/src/balsamlift/_back_off.py
+++ b/src/balsamlift/_back_off.py
@@ -7,8 +7,8 @@
 # Defaults for calls that other hosts make as well. A tenth of a second is
 # twice a usual response time; a service that is down for minutes is called
 # every few seconds.
-FIRST_MS = 100.0
-MOST_MS = 5_000.0
+INITIAL_MS = 100.0
+MAX_MS = 5_000.0
 
 
 class BackOff:
@@ -17,13 +17,13 @@
     def __init__(
         self,
         rng: random.Random | None = None,
-        first_ms: float = FIRST_MS,
-        most_ms: float = MOST_MS,
+        initial_ms: float = INITIAL_MS,
+        max_ms: float = MAX_MS,
     ) -> None:
-        """Start without failures; delays grow from `first_ms` to `most_ms`."""
+        """Start without failures; delays grow from `initial_ms` on."""
         self._rng = rng or random.Random()
-        self._first_ms = first_ms
-        self._most_ms = most_ms
+        self._initial_ms = initial_ms
+        self._max_ms = max_ms
         self._limit_ms = 0.0
 
     @property
@@ -31,15 +31,15 @@
         """Return the current bound of the delay; 0 after a success."""
         return int(self._limit_ms)
 
-    def failed(self, at_least_ms: float = 0.0) -> float:
+    def failed(self, min_ms: float = 0.0) -> float:
         """Count a failure and return the delay in s before the next attempt.
 
-        The delay is at least `at_least_ms`.
+        The delay is at least `min_ms`.
         """
-        doubled = max(self._first_ms, self._limit_ms * 2)
-        self._limit_ms = min(doubled, self._most_ms)
+        doubled = max(self._initial_ms, self._limit_ms * 2)
+        self._limit_ms = min(doubled, self._max_ms)
         delay_ms = self._rng.uniform(0.5, 1.0) * self._limit_ms
-        return max(delay_ms, at_least_ms) / 1_000
+        return max(delay_ms, min_ms) / 1_000
 
     def succeeded(self) -> None:
         """Reset the delay after a success."""
--- a/tests/test_presets_log.py
+++ b/tests/test_presets_log.py
@@ -5,7 +5,7 @@
 import pytest
 from presets_bench import SILENCE_MS, deployment
 
-from balsamlift._back_off import MOST_MS, BackOff
+from balsamlift._back_off import MAX_MS, BackOff
 from balsamlift._http import HttpClient
 from balsamlift.clock import SystemClock
 from balsamlift.exceptions import LogBlockedError, LogUnavailableError
@@ -191,8 +191,8 @@
     back_off = BackOff(random.Random(1))
     delays = [back_off.failed() for _ in range(12)]
     assert delays[0] <= 0.1
-    assert all(delay <= MOST_MS / 1_000 for delay in delays)
+    assert all(delay <= MAX_MS / 1_000 for delay in delays)
     assert len(set(delays)) == len(delays)
-    assert back_off.failed(at_least_ms=60_000) == 60
+    assert back_off.failed(min_ms=60_000) == 60
     back_off.succeeded()
     assert back_off.limit_ms == 0
