--- a/src/balsamlift/_http.py
+++ b/src/balsamlift/_http.py
@@ -71,15 +71,15 @@
         self,
         stamp: Callable[[], str] = _no_stamp,
         observe: Callable[[str], None] = _ignore_stamp,
-        most_calls: int = MAX_CLIENTS,
+        max_calls: int = MAX_CLIENTS,
         clock: Clock | None = None,
     ) -> None:
         """Send `stamp()` with each call, pass an answer's stamp to `observe`.
 
-        Calls beyond `most_calls` at once wait in a queue.
+        Calls beyond `max_calls` at once wait in a queue.
         """
         self._client = CurlAsyncHTTPClient(
-            force_instance=True, max_clients=most_calls
+            force_instance=True, max_clients=max_calls
         )
         self._stamp = stamp
         self._observe = observe
--- a/src/balsamlift/platform/_daemon.py
+++ b/src/balsamlift/platform/_daemon.py
@@ -56,7 +56,7 @@
         timeline = Timeline(
             settings.host, clock, settings.limits.timeline_events
         )
-        http = HttpClient(most_calls=MOST_STORE_CALLS, clock=clock)
+        http = HttpClient(max_calls=MOST_STORE_CALLS, clock=clock)
         store = Store(node.store_address, http, clock)
         self._routing = routing = Routing(clock)
         self.frontend = Frontend(node.callers_address, clock)
--- a/src/balsamlift/testing/_relay_world.py
+++ b/src/balsamlift/testing/_relay_world.py
@@ -215,7 +215,7 @@
             await replica.start()
         settings = _settings()
         rng = random.Random(7)
-        http = HttpClient(most_calls=4)
+        http = HttpClient(max_calls=4)
         self.frontend = Frontend("127.0.0.1:0", self.clock)
         self.upstreams = Upstreams(settings, self.clock, http, self.list)
         self.peers = Peers(
--- a/tests/test_peers_sharing.py
+++ b/tests/test_peers_sharing.py
@@ -92,7 +92,7 @@
         self.list = List()
         self.routing = Routing()
         self.upstreams = Upstreams(
-            settings, self.clock, HttpClient(most_calls=1), self.list
+            settings, self.clock, HttpClient(max_calls=1), self.list
         )
         self.peers = Peers(
             settings, "first", "127.0.0.1:1", self.clock, random.Random(name)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -48,7 +48,7 @@
     async def main() -> None:
         stand_in = KeyedStore()
         await stand_in.start()
-        store = Store(stand_in.address, HttpClient(most_calls=MOST_CALLS))
+        store = Store(stand_in.address, HttpClient(max_calls=MOST_CALLS))
         try:
             async with asyncio.timeout(DEADLINE_S):
                 await test(stand_in, store)
--- a/tests/test_slow_answers.py
+++ b/tests/test_slow_answers.py
@@ -91,7 +91,7 @@
         sockets = bind_sockets(0, "127.0.0.1")
         server.add_sockets(sockets)
         address = f"127.0.0.1:{sockets[0].getsockname()[1]}"
-        http = HttpClient(most_calls=2)
+        http = HttpClient(max_calls=2)
         async with asyncio.timeout(DEADLINE_S):
             assert await read(address, http) is not None
         http.close()
--- a/tests/test_upstreams_incarnations.py
+++ b/tests/test_upstreams_incarnations.py
@@ -112,7 +112,7 @@
         pools={"listed": PoolSettings(kind="service")},
         seed=7,
     )
-    http = HttpClient(most_calls=1)
+    http = HttpClient(max_calls=1)
     upstreams = Upstreams(product, clock, http, NoList())
     for service in (
         OperatorsServer("127.0.0.1:0"),
