--- a/src/balsamlift/_validators.py
+++ b/src/balsamlift/_validators.py
@@ -142,19 +142,20 @@
     return check
 
 
-def names(most: int, *others: str) -> Validator:
-    """Return a validator for a mapping with 1 to `most` plain names as keys.
+def plain_keys(max_count: int, *allowed: str) -> Validator:
+    """Return a validator for a mapping with plain names as keys.
 
-    Keys in `others` are allowed as well.
+    It must have 1 to `max_count` entries. The keys in `allowed` are valid
+    whatever their form.
     """
 
     def check(_: Any, field: attrs.Attribute[Any], value: Any) -> None:
-        if not 0 < len(value) <= most:
+        if not 0 < len(value) <= max_count:
             raise FieldError(
-                field.name, f"1 to {most} entries, not {len(value)}"
+                field.name, f"1 to {max_count} entries, not {len(value)}"
             )
         for key in value:
-            if key not in others and not _NAME.fullmatch(key):
+            if key not in allowed and not _NAME.fullmatch(key):
                 raise FieldError(
                     f"{field.name}.{key}",
                     f"a name of 1 to {MAX_NAME_LENGTH} letters, digits, "
--- a/src/balsamlift/presets/_preset.py
+++ b/src/balsamlift/presets/_preset.py
@@ -9,7 +9,7 @@
     above,
     between,
     inside,
-    names,
+    plain_keys,
     plain_name,
     sha256_or_empty,
 )
@@ -85,7 +85,7 @@
     value: dict[str, PoolPreset],
 ) -> None:
     if value:  # a deployment of plain services has no engine pool
-        names(MOST_POOLS)(None, field, value)
+        plain_keys(MOST_POOLS)(None, field, value)
 
 
 @attrs.frozen(kw_only=True)
@@ -93,10 +93,12 @@
     """Hold one whole preset."""
 
     name: str = attrs.field(validator=plain_name)
-    kinds: dict[str, KindPreset] = attrs.field(validator=names(MOST_KINDS))
+    kinds: dict[str, KindPreset] = attrs.field(
+        validator=plain_keys(MOST_KINDS)
+    )
     # ANY_WORKSPACE stands for those that are not named.
     workspaces: dict[str, WorkspacePreset] = attrs.field(
-        validator=names(MOST_WORKSPACES, ANY_WORKSPACE)
+        validator=plain_keys(MOST_WORKSPACES, ANY_WORKSPACE)
     )
     pools: dict[str, PoolPreset] = attrs.field(
         factory=dict, validator=_check_pools
--- a/src/balsamlift/settings.py
+++ b/src/balsamlift/settings.py
@@ -13,8 +13,8 @@
     between,
     identifier,
     longer_than,
-    names,
     one_of,
+    plain_keys,
     remote_address,
 )
 from balsamlift.exceptions import FieldError
@@ -22,7 +22,7 @@
 POOL_KINDS = ("engine", "service")
 LOG_LEVELS = ("TRACE", "DEBUG", "INFO", "WARNING", "ERROR", "CRITICAL")
 
-MOST_POOLS = 1_000
+MAX_POOLS = 1_000
 
 _MINUTE_MS = 60_000
 _HOUR_MS = 60 * _MINUTE_MS
@@ -185,7 +185,9 @@
     counts_address: str = attrs.field(default="", validator=address_or_empty)
     region: str = attrs.field(default="region-1", validator=identifier)
     platform: PlatformSettings
-    pools: dict[str, PoolSettings] = attrs.field(validator=names(MOST_POOLS))
+    pools: dict[str, PoolSettings] = attrs.field(
+        validator=plain_keys(MAX_POOLS)
+    )
     address_keep_ms: int = attrs.field(
         default=5_000, validator=between(10, _HOUR_MS)
     )
