--- a/src/balsamlift/requests/_handlers.py
+++ b/src/balsamlift/requests/_handlers.py
@@ -310,7 +310,7 @@
 
     async def _send_frame(self, frame: bytes) -> None:
         assert self._timer is not None
-        self._timer.note()
+        self._timer.reset()
         self._heartbeat_is_due = False
         await self._handler.send(frame)
 
--- a/src/balsamlift/streams/_stream.py
+++ b/src/balsamlift/streams/_stream.py
@@ -142,7 +142,7 @@
                     self._check_end()
                     return
                 # Counted from here: a slow reader is no silent stream.
-                timer.note()
+                timer.reset()
                 await self._wait_for_news()
         finally:
             timer.stop()
