--- a/examples/demo.py
+++ b/examples/demo.py
@@ -136,7 +136,7 @@
     ends_s = time.monotonic() + IN_FORCE_S
     while time.monotonic() < ends_s:
         try:
-            await client.places()
+            await client.hosts()
             return
         except Exception:
             await asyncio.sleep(0.1)
--- a/src/balsamlift/client.py
+++ b/src/balsamlift/client.py
@@ -95,22 +95,22 @@
         self._ask_again = ask_again
         self._http = HttpClient()
         self._streams = StreamClient()
-        self._places: list[Place] = []
-        self._places_expire_s = 0.0
+        self._hosts: list[Place] = []
+        self._hosts_expire_s = 0.0
 
     def close(self) -> None:
         """Close the connections."""
         self._http.close()
         self._streams.close()
 
-    async def places(self) -> list[Place]:
+    async def hosts(self) -> list[Place]:
         """Return the hosts to use; fetch the list again once it has expired.
 
         Raises `NoHostError`.
         """
-        if self._places and self._clock.monotonic() < self._places_expire_s:
-            return self._places
-        known = [p.address for p in self._places]
+        if self._hosts and self._clock.monotonic() < self._hosts_expire_s:
+            return self._hosts
+        known = [p.address for p in self._hosts]
         for address in [
             *known,
             *random.sample(
@@ -118,10 +118,10 @@
             ),
         ]:
             with contextlib.suppress(CallError, msgspec.DecodeError):
-                found = await self._ask_places(address)
+                found = await self._fetch_hosts(address)
                 if found.addresses:
-                    self._store_places(found)
-                    return self._places
+                    self._store_hosts(found)
+                    return self._hosts
         raise NoHostError("no host gave an address")
 
     async def run(
@@ -166,7 +166,7 @@
     async def _begin(
         self, request: Request, on_tokens: OnTokens | None
     ) -> Progress:
-        place = (await self.places())[0]
+        place = (await self.hosts())[0]
         key = new_homed_key(place.key_prefix)
         return Progress(request, key, place, on_tokens)
 
@@ -220,25 +220,25 @@
 
     async def _change_home(self, progress: Progress, place: Place) -> None:
         """Move to another host under a new key if nothing was sent yet."""
-        self._places_expire_s = 0.0
-        self._places = [p for p in self._places if p != place]
+        self._hosts_expire_s = 0.0
+        self._hosts = [p for p in self._hosts if p != place]
         if progress.sent:
             return
         with contextlib.suppress(NoHostError):
-            places = await self.places()
+            hosts = await self.hosts()
             # The list may still contain the unreachable host.
-            others = [p for p in places if p != place]
-            progress.replace_key((others or places)[0])
+            others = [p for p in hosts if p != place]
+            progress.replace_key((others or hosts)[0])
 
     async def _next_place(self, progress: Progress, last: Place) -> Place:
         """Return the home if it was not tried last, otherwise another host."""
         if not progress.sent or last != progress.home:
             return progress.home
         try:
-            places = await self.places()
+            hosts = await self.hosts()
         except NoHostError:
             return progress.home
-        others = [p for p in places if p != last]
+        others = [p for p in hosts if p != last]
         return random.choice(others) if others else progress.home
 
     async def _read(self, progress: Progress, place: Place) -> Outcome:
@@ -291,7 +291,7 @@
             query["generation"] = progress.start.generation
         return urlencode(query)
 
-    async def _ask_places(self, address: str) -> Addresses:
+    async def _fetch_hosts(self, address: str) -> Addresses:
         query = {"workspace": self._workspace}
         if self._domain:
             query["failure_domain"] = self._domain
@@ -304,9 +304,9 @@
         )
         return answer.decode(Addresses)
 
-    def _store_places(self, found: Addresses) -> None:
-        self._places = found.addresses
-        self._places_expire_s = self._clock.monotonic() + found.keep_ms / 1_000
+    def _store_hosts(self, found: Addresses) -> None:
+        self._hosts = found.addresses
+        self._hosts_expire_s = self._clock.monotonic() + found.keep_ms / 1_000
 
 
 def _may_retry(progress: Progress, outcome: Outcome) -> bool:
--- a/tests/scenarios/callers.py
+++ b/tests/scenarios/callers.py
@@ -94,8 +94,8 @@
             self.call.keys.append(progress.key)
         return super()._open(progress, place)
 
-    async def _ask_places(self, address: str) -> Addresses:
-        found = await super()._ask_places(address)
+    async def _fetch_hosts(self, address: str) -> Addresses:
+        found = await super()._fetch_hosts(address)
         if self._links is None:
             return found
         places = [await self._links.through(p) for p in found.addresses]
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -207,7 +207,7 @@
         client = Client([host.address], workspace="w", clock=clock)
         for shift_s, requests in ((0.0, 1), (59.0, 1), (61.0, 2)):
             clock.shift_s = shift_s
-            await client.places()
+            await client.hosts()
             assert host.address_requests == requests
         client.close()
 
@@ -290,8 +290,8 @@
         super().__init__(list(links), **options)
         self.links = links
 
-    async def _ask_places(self, address):
-        found = await super()._ask_places(address)
+    async def _fetch_hosts(self, address):
+        found = await super()._fetch_hosts(address)
         through = [
             attrs.evolve(p, address=self.links[p.address].address)
             for p in sorted(found.addresses, key=lambda p: p.host)
