--- a/src/balsamlift/client.py
+++ b/src/balsamlift/client.py
@@ -50,7 +50,7 @@
 PAUSE_S = 0.1
 MAX_PAUSE_S = 2.0
 DEADLINE_MS = 120_000
-ASK_AGAIN = 3
+UNKNOWN_RETRIES = 3
 
 
 __all__ = [
@@ -73,7 +73,7 @@
     `addresses` are callers' addresses ("IP:port") of any hosts, from which
     the client learns others. If the outcome is "unknown" and the host says
     that a retry may tell more, the client asks for the same key again, up to
-    `ask_again` times.
+    `unknown_retries` times.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         token: str = "",
         failure_domain: str = "",
         clock: Clock | None = None,
-        ask_again: int = ASK_AGAIN,
+        unknown_retries: int = UNKNOWN_RETRIES,
     ) -> None:
         """Store the workspace, its token and the first addresses."""
         self._initial_addresses = addresses
@@ -92,7 +92,7 @@
         self._headers = {"Authorization": f"Bearer {token}"} if token else {}
         self._domain = failure_domain
         self._clock = clock or SystemClock()
-        self._ask_again = ask_again
+        self._unknown_retries = unknown_retries
         self._http = HttpClient()
         self._streams = StreamClient()
         self._hosts: list[Place] = []
@@ -175,7 +175,7 @@
         deadline_ms = progress.request.deadline_ms or DEADLINE_MS
         deadline_s = self._clock.monotonic() + deadline_ms / 1_000
         outcome = await self._read_from_hosts(progress, deadline_s)
-        for _ in range(self._ask_again):
+        for _ in range(self._unknown_retries):
             if outcome.outcome != UNKNOWN or outcome.retry_after_ms is None:
                 break
             pause_s = outcome.retry_after_ms / 1_000
