--- a/src/balsamlift/_commands/_request.py
+++ b/src/balsamlift/_commands/_request.py
@@ -79,7 +79,9 @@
     def handle_tokens(added: list[str]) -> None:
         tokens.extend(added)
         if not as_json:
-            print(_printable("".join(added)), end="", flush=True)
+            print(
+                _replace_control_characters("".join(added)), end="", flush=True
+            )
 
     outcome = _send(arguments, handle_tokens)
     if as_json:
@@ -93,7 +95,7 @@
     running_request = _run_request(
         arguments.addresses("--at"),
         arguments,
-        _request(arguments),
+        _build_request(arguments),
         handle_tokens,
     )
     try:
@@ -123,7 +125,7 @@
         client.close()
 
 
-def _request(arguments: Arguments) -> Request:
+def _build_request(arguments: Arguments) -> Request:
     prompt = arguments.text("PROMPT")
     if prompt == _STANDARD_INPUT:
         prompt = sys.stdin.read()
@@ -134,11 +136,11 @@
         max_tokens=arguments.number("--max-tokens"),
         seed=arguments.number("--seed"),
         deadline_ms=arguments.number("--deadline-ms"),
-        payload=_payload(arguments.text("--payload")),
+        payload=_parse_payload(arguments.text("--payload")),
     )
 
 
-def _payload(text: str) -> Any:
+def _parse_payload(text: str) -> Any:
     if not text:
         return None
     try:
@@ -154,7 +156,7 @@
         raise UsageError(f"--token-file: {error}") from error
 
 
-def _printable(text: str) -> str:
+def _replace_control_characters(text: str) -> str:
     """Replace control characters other than tabs and line ends.
 
     They must not reach a terminal.
--- a/src/balsamlift/logs.py
+++ b/src/balsamlift/logs.py
@@ -68,7 +68,9 @@
         return
 
     def write(message: Message) -> None:
-        line = msgspec.json.encode(_line(message.record), enc_hook=str)
+        line = msgspec.json.encode(
+            _build_log_line(message.record), enc_hook=str
+        )
         stream.write(line.decode() + "\n")
         stream.flush()
 
@@ -82,7 +84,7 @@
         record["message"] = message.encode("unicode_escape").decode("ascii")
 
 
-def _line(record: Record) -> LogLine:
+def _build_log_line(record: Record) -> LogLine:
     exception = record["exception"]
     error = ""
     if exception is not None and exception.type is not None:
--- a/src/balsamlift/status.py
+++ b/src/balsamlift/status.py
@@ -45,7 +45,7 @@
         operators.add_routes([(r"/v1/status", StatusHandler, arguments)])
 
     async def stop(self) -> None:
-        """Do nothing: the operators' server removes the route."""
+        """Do nothing: the route ends with the operators' server."""
 
     def current(self) -> HostStatus:
         """Return the current status."""
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -61,10 +61,10 @@
 
     def teardown(self) -> None:
         merged = merge(host.events() for host in reversed(self.hosts))
-        place = {(e.request, e.kind): n for n, e in enumerate(merged)}
+        position = {(e.request, e.kind): n for n, e in enumerate(merged)}
         for number in range(1, self.number + 1):
-            sent = place[str(number), "sent"]
-            assert sent < place[str(number), "received"]
+            sent = position[str(number), "sent"]
+            assert sent < position[str(number), "received"]
         for number, host in enumerate(self.hosts):
             in_order = [e for e in merged if e.host == f"h{number}"]
             assert in_order == host.events()
