--- a/src/balsamlift/presets/_preset.py
+++ b/src/balsamlift/presets/_preset.py
@@ -9,7 +9,7 @@
     above,
     between,
     inside,
-    names,
+    plain_keys,
     plain_name,
     sha256_or_empty,
 )
@@ -85,7 +85,7 @@
     value: dict[str, PoolPreset],
 ) -> None:
     if value:  # empty in a deployment without engine pools
-        names(MAX_POOLS)(None, field, value)
+        plain_keys(MAX_POOLS)(None, field, value)
 
 
 @attrs.frozen(kw_only=True)
@@ -93,10 +93,10 @@
     """Hold a complete preset."""
 
     name: str = attrs.field(validator=plain_name)
-    kinds: dict[str, KindPreset] = attrs.field(validator=names(MAX_KINDS))
+    kinds: dict[str, KindPreset] = attrs.field(validator=plain_keys(MAX_KINDS))
     # ANY_WORKSPACE applies to workspaces that are not listed.
     workspaces: dict[str, WorkspacePreset] = attrs.field(
-        validator=names(MAX_WORKSPACES, ANY_WORKSPACE)
+        validator=plain_keys(MAX_WORKSPACES, ANY_WORKSPACE)
     )
     pools: dict[str, PoolPreset] = attrs.field(
         factory=dict, validator=_check_pools
--- a/src/balsamlift/streams/_stream.py
+++ b/src/balsamlift/streams/_stream.py
@@ -143,7 +143,7 @@
                     return
                 # The timer restarts here, so that the time a slow reader
                 # takes does not count as silence.
-                timer.note()
+                timer.reset()
                 await self._wait_for_change()
         finally:
             timer.stop()
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -53,7 +53,7 @@
     async def main() -> None:
         fake_store = KeyedStore()
         await fake_store.start()
-        store = Store(fake_store.address, HttpClient(most_calls=MAX_CALLS))
+        store = Store(fake_store.address, HttpClient(max_calls=MAX_CALLS))
         try:
             async with asyncio.timeout(DEADLINE_S):
                 await test(fake_store, store)
