--- a/src/balsamlift/testing/__init__.py
+++ b/src/balsamlift/testing/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for engines, services, the platform and links."""
+"""Stand-ins for engines, services, the platform and network links."""
 
 from balsamlift.testing._engine_model import EngineModel
 from balsamlift.testing._engine_types import (
--- a/src/balsamlift/testing/__main__.py
+++ b/src/balsamlift/testing/__main__.py
@@ -41,7 +41,7 @@
 
 EXIT_SETTINGS = 2
 
-_MAKERS: dict[str, Callable[[str], StandIn]] = {
+_STAND_INS: dict[str, Callable[[str], StandIn]] = {
     "engine": lambda file: Engine(
         load(file, EngineSettings), SystemClock(), engine_routes
     ),
@@ -58,9 +58,9 @@
 def main() -> int:
     """Run the stand-in that the command line names."""
     arguments = docopt(__doc__ or "")
-    kind = next(kind for kind in _MAKERS if arguments[kind])
+    kind = next(kind for kind in _STAND_INS if arguments[kind])
     try:
-        asyncio.run(_run(_MAKERS[kind], arguments["SETTINGS"]))
+        asyncio.run(_run(_STAND_INS[kind], arguments["SETTINGS"]))
     except SettingsError as error:
         print(error, file=sys.stderr)
         return EXIT_SETTINGS
@@ -68,14 +68,14 @@
 
 
 async def _run(make: Callable[[str], StandIn], file: str) -> None:
-    ended = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     stand_in = make(file)
     await stand_in.start()
     print(json.dumps({"ready": True, **stand_in.ready()}), flush=True)
-    await ended.wait()
+    await stop_requested.wait()
     await stand_in.stop()
 
 
--- a/src/balsamlift/testing/_engine.py
+++ b/src/balsamlift/testing/_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in of a model engine: the engine model in real time."""
+"""Stand-in for a model engine: runs the engine model in real time."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 )
 from balsamlift.testing._tokens import token_text
 
-_LATE_S = 0.1  # steps that are later than this are not caught up with
-_DEATH_DELAY_S = 0.05  # for the last tokens to leave
-_DEATH_CODE = 1
+_MAX_LAG_S = 0.1  # a lag beyond this is not caught up by shorter waits
+_CRASH_DELAY_S = 0.05  # lets the last tokens reach their readers
+_CRASH_EXIT_CODE = 1
 _RETRY_MS = 200
 
 
 class Engine:
-    """Run one engine."""
+    """Serve the HTTP calls of one engine and decode its generations."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         clock: Clock,
         make_routes: Callable[[Engine], Routes],
     ) -> None:
-        """Bind the address; `make_routes` returns the calls to serve."""
+        """Bind the address; `make_routes` returns the routes to serve."""
         self._make_routes = make_routes
         self.settings = settings
         self.clock = clock
@@ -57,17 +57,17 @@
         self.orders = Orders(settings, clock)
         self.generations: dict[str, Generation] = {}
         self._by_key: dict[str, Generation] = {}
-        self._past_keys: dict[str, KeyState] = {}
+        self._past_key_states: dict[str, KeyState] = {}
         self.executions: Counter[str] = Counter()
         self._model = EngineModel(settings.parameters)
         self.reports = EngineReports(settings, clock, self._model)
         self._stalls = 0
         self._stall_ms = 0.0
         self._tokens = 0
-        self._dies_at = -1
+        self._crash_at_tokens = -1
         self._wake = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
-        self._reclaim: asyncio.TimerHandle | None = None
+        self._reclaim_timer: asyncio.TimerHandle | None = None
         self._listener = Listener(settings.address)
         entry = HostEntry(
             name=settings.name,
@@ -83,16 +83,16 @@
         return self.control.faults
 
     async def start(self) -> None:
-        """Accept connections, decode, and report to the platform."""
+        """Accept connections, start decoding and register the engine."""
         routes = self._make_routes(self)
         self._listener.start(routes + control_routes(self.control, self.count))
         self.control.on_change(self._apply)
         self._task = asyncio.create_task(self._decode())
-        self._task.add_done_callback(_show_error)
+        self._task.add_done_callback(_raise_error)
         self._registration.announce("live")
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop decoding, deregister and close all connections."""
         if self._task is not None:
             self._task.cancel()
         self.orders.close()
@@ -107,7 +107,7 @@
         }
 
     def count(self) -> dict[str, Any]:
-        """Return what was counted."""
+        """Return the counters for `GET /control/counts`."""
         return {
             "executions": self.executions,
             "preemptions": self._model.load().preemptions,
@@ -124,8 +124,8 @@
         }
 
     def submit(self, request: GenerationRequest) -> Generation | Refusal:
-        """Queue a request, or keep it out."""
-        reason = self._keep_out(request.model)
+        """Queue a request, or return why it was refused."""
+        reason = self._refusal_reason(request.model)
         if reason:
             return Refusal(reason=reason, retry_after_ms=_RETRY_MS)
         generation = new_generation(request, self.settings, self.orders.state)
@@ -134,22 +134,22 @@
             return Refusal(reason="full", retry_after_ms=_RETRY_MS)
         self.generations[generation.name] = generation
         self._by_key[request.key] = generation
-        self.reports.note_load()
+        self.reports.record_load()
         self._wake.set()
         return generation
 
     def cancel(self, generation: Generation) -> bool:
-        """Cancel a generation; false when it had ended."""
+        """Cancel a generation; return false if it had already ended."""
         return self._end(generation, "cancelled")
 
     def key_state(self, key: str) -> KeyState:
-        """Tell what became of the newest generation for a key."""
+        """Return the state of the newest generation for a key."""
         generation = self._by_key.get(key)
         if generation is not None:
             return generation.key_state()
-        return self._past_keys.get(key, KeyState(state="absent"))
+        return self._past_key_states.get(key, KeyState(state="absent"))
 
-    def _keep_out(self, model: str) -> str:
+    def _refusal_reason(self, model: str) -> str:
         state = self.orders.state
         if state.draining:
             return "draining"
@@ -158,7 +158,7 @@
         return "full" if self.faults.refuse else ""
 
     async def _decode(self) -> None:
-        """Step the model in real time for as long as the engine lives."""
+        """Step the model in real time until the engine stops or crashes."""
         due = self.clock.monotonic()
         while True:
             if self._model.idle:
@@ -166,15 +166,15 @@
                 await self._wake.wait()
                 due = self.clock.monotonic()
             step = self._model.step()
-            self._note_starts(step)
+            self._record_starts(step)
             duration_s = step.duration_ms * self.faults.slow_factor / 1_000
             now = self.clock.monotonic()
-            due = max(due, now - _LATE_S) + duration_s
+            due = max(due, now - _MAX_LAG_S) + duration_s
             await self.clock.sleep(max(0.0, due - now))
             if self._deliver(step):
                 return
 
-    def _note_starts(self, step: Step) -> None:
+    def _record_starts(self, step: Step) -> None:
         now = self.clock.monotonic()
         for name in step.preempted_keys:
             generation = self.generations[name]
@@ -188,18 +188,18 @@
                 self.executions[generation.request.key] += 1
 
     def _deliver(self, step: Step) -> bool:
-        """Hand out the tokens of a step; true when the engine dies."""
-        self.reports.note_events()
+        """Append the tokens of a step; return true if the engine crashes."""
+        self.reports.record_events()
         for name in step.token_keys:
-            if self._dies_now():
+            if self._crash_if_due():
                 return True
-            if name in self.generations:  # else cancelled and forgotten
+            if name in self.generations:  # else cancelled and removed
                 self._deliver_token(self.generations[name])
         for name in step.finished_keys:
             if name in self.generations:
                 generation = self.generations[name]
-                self._end(generation, generation.natural_end)
-        self.reports.note_load()
+                self._end(generation, generation.expected_end_reason)
+        self.reports.record_load()
         return False
 
     def _deliver_token(self, generation: Generation) -> None:
@@ -213,12 +213,12 @@
         generation.append(token_text(generation.salt, index))
         self._tokens += 1
 
-    def _dies_now(self) -> bool:
-        """Die without a word once the set number of tokens is out."""
-        if self._dies_at < 0 or self._tokens < self._dies_at:
+    def _crash_if_due(self) -> bool:
+        """Schedule the exit of the process once enough tokens were sent."""
+        if self._crash_at_tokens < 0 or self._tokens < self._crash_at_tokens:
             return False
         loop = asyncio.get_running_loop()
-        loop.call_later(_DEATH_DELAY_S, os._exit, _DEATH_CODE)
+        loop.call_later(_CRASH_DELAY_S, os._exit, _CRASH_EXIT_CODE)
         return True
 
     def _end(self, generation: Generation, reason: str) -> bool:
@@ -228,25 +228,27 @@
         generation.end(reason)
         loop = asyncio.get_running_loop()
         retention_s = self.settings.retention_ms / 1_000
-        loop.call_later(retention_s, self._forget, generation.name)
-        self.reports.note_load()
+        loop.call_later(retention_s, self._remove, generation.name)
+        self.reports.record_load()
         return True
 
-    def _forget(self, name: str) -> None:
-        """Drop the tokens; what became of the key is kept."""
+    def _remove(self, name: str) -> None:
+        """Drop a generation and its tokens, but keep the state of its key."""
         generation = self.generations.pop(name)
         key = generation.request.key
         if self._by_key.get(key) is generation:
-            self._past_keys[key] = self._by_key.pop(key).key_state()
+            self._past_key_states[key] = self._by_key.pop(key).key_state()
 
     def _apply(self, old: EngineFaults, faults: EngineFaults) -> None:
-        """Carry out what a change of the faults asks for at once."""
-        if faults.silent:  # only for the streams open now
+        """Apply the faults that take effect when they are set."""
+        if faults.silent:  # affects only the streams that are open now
             self.control.faults = attrs.evolve(faults, silent=False)
             self._silence_streams()
         if faults.die_after_tokens != old.die_after_tokens:
-            dies = faults.die_after_tokens
-            self._dies_at = self._tokens + dies if dies >= 0 else -1
+            token_count = faults.die_after_tokens
+            self._crash_at_tokens = (
+                self._tokens + token_count if token_count >= 0 else -1
+            )
         if faults.reclaim_in_ms != old.reclaim_in_ms:
             self._schedule_reclaim(faults.reclaim_in_ms)
         self._set_draining(faults.draining or faults.reclaim_in_ms >= 0)
@@ -262,19 +264,21 @@
             self._registration.announce("leaving" if draining else "live")
 
     def _schedule_reclaim(self, delay_ms: int) -> None:
-        if self._reclaim is not None:
-            self._reclaim.cancel()
-            self._reclaim = None
+        if self._reclaim_timer is not None:
+            self._reclaim_timer.cancel()
+            self._reclaim_timer = None
         if delay_ms >= 0:
             loop = asyncio.get_running_loop()
-            self._reclaim = loop.call_later(delay_ms / 1_000, self._end_all)
+            self._reclaim_timer = loop.call_later(
+                delay_ms / 1_000, self._reclaim_all
+            )
 
-    def _end_all(self) -> None:
+    def _reclaim_all(self) -> None:
         for generation in list(self.generations.values()):
             self._end(generation, "reclaimed")
 
 
-def _show_error(task: asyncio.Task[None]) -> None:
-    """Raise what ended the decoding, so that the loop prints it."""
+def _raise_error(task: asyncio.Task[None]) -> None:
+    """Raise the error that ended decoding, so that the event loop logs it."""
     if not task.cancelled():
         task.result()
--- a/src/balsamlift/testing/_engine_handlers.py
+++ b/src/balsamlift/testing/_engine_handlers.py
@@ -1,4 +1,4 @@
-"""The HTTP calls of an engine."""
+"""HTTP handlers of the engine stand-in."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class EngineHandler(JsonHandler):
-    """Know the engine."""
+    """Give handlers access to the engine."""
 
     def initialize(self, engine: Engine) -> None:
-        """Keep the engine."""
+        """Store the engine that this handler serves."""
         self._engine = engine
 
 
@@ -38,7 +38,7 @@
     _closed = False
 
     async def stream(self, generation: Generation, index: int) -> None:
-        """Send tokens from `index` on, until the end or a closed stream."""
+        """Send tokens from `index` on until the generation or stream ends."""
         reader = Reader(index, self._engine.settings.tokens_per_frame)
         self._reader = reader
         generation.readers.add(reader)
@@ -47,18 +47,19 @@
             await self._send("start", generation.start)
             await self._send_all(generation, reader)
         except StreamClosedError:
-            pass  # the generation goes on without this reader
+            pass  # the generation continues without this reader
         finally:
             generation.readers.discard(reader)
 
     def on_connection_close(self) -> None:
-        """End the wait of a stream whose caller has gone."""
+        """Wake a stream whose caller has disconnected."""
         self._closed = True
         if self._reader is not None:
             self._reader.stop()
 
     async def _send_all(self, generation: Generation, reader: Reader) -> None:
-        # Waits are for a full frame, but all that is ready goes together.
+        # `Reader.wait` waits for one full frame, but a frame carries every
+        # token that is ready by then, up to this limit.
         limit = max(_FRAME_TOKENS, self._engine.settings.tokens_per_frame)
         sent_at = self._engine.clock.monotonic()
         while not self._closed:
@@ -101,37 +102,37 @@
 
 
 class GenerationsHandler(StreamHandler):
-    """Start generations."""
+    """Handle `POST /v1/generations`."""
 
     async def post(self) -> None:
-        """Queue the request of the body and stream its tokens."""
+        """Queue the request in the body and stream its tokens."""
         request = self.read(GenerationRequest)
         if request is None:
             return
-        found = self._engine.submit(request)
-        if not isinstance(found, Generation):
+        result = self._engine.submit(request)
+        if not isinstance(result, Generation):
             self.refuse(
                 503,
-                found.reason,
-                ran=found.ran,
-                retry_after_ms=found.retry_after_ms,
+                result.reason,
+                ran=result.ran,
+                retry_after_ms=result.retry_after_ms,
             )
             return
         if self._engine.faults.drop_answers:
             await self._engine.clock.sleep(FOREVER_S)
-        await self.stream(found, 0)
+        await self.stream(result, 0)
 
 
 class GenerationHandler(StreamHandler):
-    """Resume and cancel one generation."""
+    """Handle `/v1/generations/NAME`: resume or cancel a generation."""
 
     async def get(self, name: str) -> None:
-        """Stream the tokens from the asked index on."""
+        """Stream the tokens from the index in the query on."""
         generation = self._engine.generations.get(name)
         if generation is None:
             self.refuse(404, "generation_missing")
             return
-        await self.stream(generation, self.number("from", 0))
+        await self.stream(generation, self.query_int("from", 0))
 
     def delete(self, name: str) -> None:
         """Cancel the generation."""
@@ -143,10 +144,10 @@
 
 
 class KeyHandler(EngineHandler):
-    """Tell what became of a key."""
+    """Handle `GET /v1/keys/KEY`."""
 
     def get(self, key: str) -> None:
-        """Return the state of the key, if the engine tells it."""
+        """Return the state of the key, if the engine exposes key states."""
         if not self._engine.settings.tells_by_key:
             self.refuse(404, "not_told")
             return
@@ -154,34 +155,34 @@
 
 
 class LoadHandler(EngineHandler):
-    """Tell the load."""
+    """Handle `GET /v1/load`."""
 
     def get(self) -> None:
-        """Return the load as it was a while ago."""
+        """Return the load of `load_lag_ms` ago."""
         self.reply(self._engine.reports.load())
 
 
 class CacheHandler(EngineHandler):
-    """Tell cache events."""
+    """Handle `GET /v1/cache`."""
 
     def get(self) -> None:
-        """Return the late events from the asked one on."""
-        self.reply(self._engine.reports.cache_page(self.number("from", 0)))
+        """Return the events older than the lag, from a sequence number on."""
+        self.reply(self._engine.reports.cache_page(self.query_int("from", 0)))
 
 
 class StateHandler(EngineHandler):
-    """Tell the state."""
+    """Handle `GET /v1/state`."""
 
     def get(self) -> None:
-        """Return what is loaded now."""
+        """Return the loaded model and the state of the engine."""
         self.reply(self._engine.orders.state)
 
 
 class OrdersHandler(EngineHandler):
-    """Take orders."""
+    """Handle `POST /v1/orders`."""
 
     def post(self) -> None:
-        """Begin to carry out the order of the body."""
+        """Accept the order in the body, or refuse one with a stale fence."""
         order = self.read(Order)
         if order is None:
             return
@@ -193,14 +194,14 @@
 
 
 def engine_routes(engine: Engine) -> Routes:
-    """Return the routes under /v1."""
-    mine = {"engine": engine}
+    """Return the routes of an engine under /v1."""
+    arguments = {"engine": engine}
     return [
-        (r"/v1/generations", GenerationsHandler, mine),
-        (r"/v1/generations/([^/]+)", GenerationHandler, mine),
-        (r"/v1/keys/([^/]+)", KeyHandler, mine),
-        (r"/v1/load", LoadHandler, mine),
-        (r"/v1/cache", CacheHandler, mine),
-        (r"/v1/state", StateHandler, mine),
-        (r"/v1/orders", OrdersHandler, mine),
+        (r"/v1/generations", GenerationsHandler, arguments),
+        (r"/v1/generations/([^/]+)", GenerationHandler, arguments),
+        (r"/v1/keys/([^/]+)", KeyHandler, arguments),
+        (r"/v1/load", LoadHandler, arguments),
+        (r"/v1/cache", CacheHandler, arguments),
+        (r"/v1/state", StateHandler, arguments),
+        (r"/v1/orders", OrdersHandler, arguments),
     ]
--- a/src/balsamlift/testing/_engine_model.py
+++ b/src/balsamlift/testing/_engine_model.py
@@ -1,4 +1,4 @@
-"""A model of one continuously batching engine, without I/O or clock."""
+"""Model of one engine with continuous batching, without I/O or clock."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 @attrs.define(eq=False)
 class _Sequence:
     work: Work
-    order: int
+    submission: int
     phase: Phase = "waiting"
     generated: int = 0
-    to_prefill: int = 0
-    blocks: int = 0  # its own, without those of a shared prefix
-    prefix: str = ""  # the shared prefix that it holds
+    tokens_to_prefill: int = 0
+    blocks: int = 0  # excluding those of a shared prefix
+    prefix: str = ""  # the shared prefix that it references
 
     @property
     def tokens(self) -> int:
@@ -34,21 +34,25 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Sort the most urgent, then the oldest, first."""
-        return (-self.work.priority, self.order)
+        """Return a sort key: the highest priority, then the oldest, first."""
+        return (-self.work.priority, self.submission)
 
 
 class EngineModel:
-    """Batch sequences step by step over limited memory."""
+    """Batch sequences step by step within limited memory.
+
+    A sequence that needs a block when none is free preempts the newest
+    sequence of the lowest priority, which computes all its tokens again.
+    """
 
     def __init__(self, parameters: EngineParameters) -> None:
-        """Begin idle with an empty prefix cache."""
+        """Start idle with an empty prefix cache."""
         self.parameters = parameters
         self._sequences: dict[str, _Sequence] = {}
         self._running: list[_Sequence] = []
         self._waiting: list[tuple[int, int, _Sequence]] = []
         self._queued = 0
-        self._order = 0
+        self._submissions = 0
         self._used_blocks = 0
         self._preemptions = 0
         self._cache = PrefixCache(
@@ -57,18 +61,18 @@
 
     @property
     def idle(self) -> bool:
-        """Tell whether a step would do nothing."""
+        """Return whether there is nothing to compute."""
         return not self._sequences
 
     def output_limit(self, prompt_tokens: int) -> int:
-        """Return how many tokens can follow a prompt, alone in memory."""
+        """Return how many tokens can follow a prompt that runs alone."""
         spare = 2 * self.parameters.block_tokens
         return self.parameters.memory_tokens - prompt_tokens - spare
 
     def submit(self, work: Work) -> bool:
-        """Queue `work`; false when the queue is full or it cannot fit.
+        """Queue `work`; return false if the queue is full or it cannot fit.
 
-        A longer output than memory holds is cut to `output_limit`.
+        An output longer than memory can hold is cut to `output_limit`.
         """
         limit = self.output_limit(work.prompt_tokens)
         full = self._queued >= self.parameters.queue_limit
@@ -76,14 +80,14 @@
             return False
         output = max(1, min(work.output_tokens, limit))
         work = attrs.evolve(work, output_tokens=output)
-        self._order += 1
-        sequence = _Sequence(work, self._order)
+        self._submissions += 1
+        sequence = _Sequence(work, self._submissions)
         self._sequences[work.key] = sequence
         self._enqueue(sequence)
         return True
 
     def cancel(self, key: str) -> bool:
-        """Drop the work of `key`; false when there is none."""
+        """Drop the work of `key`; return false if there is none."""
         sequence = self._sequences.pop(key, None)
         if sequence is None:
             return False
@@ -96,11 +100,11 @@
         return True
 
     def step(self) -> Step:
-        """Run one step: start, prefill, make room, decode."""
+        """Run one step: admit, prefill, allocate blocks, decode."""
         started = self._start_waiting()
         prefilled = self._prefill()
-        preempted = self._make_room()
-        decoding = [s for s in self._running if not s.to_prefill]
+        preempted = self._allocate_blocks()
+        decoding = [s for s in self._running if not s.tokens_to_prefill]
         if not decoding and not prefilled:
             return Step(preempted_keys=preempted, started_keys=started)
         duration_ms = self._duration_ms(len(decoding), prefilled)
@@ -115,7 +119,7 @@
         )
 
     def load(self) -> Load:
-        """Return the load at this moment."""
+        """Return the present load."""
         block_tokens = self.parameters.block_tokens
         return Load(
             running=len(self._running),
@@ -130,8 +134,8 @@
         return self._cache.take_events()
 
     def cached_prefixes(self) -> list[str]:
-        """Return the prefixes that would shorten a prefill now."""
-        return self._cache.ready_names()
+        """Return the cached prefixes, least recently used first."""
+        return self._cache.computed_names()
 
     def _enqueue(self, sequence: _Sequence) -> None:
         sequence.phase = "waiting"
@@ -139,7 +143,10 @@
         heapq.heappush(self._waiting, (*sequence.rank, sequence))
 
     def _start_waiting(self) -> list[str]:
-        """Start the queue's head while it fits; nothing overtakes it."""
+        """Start queued sequences in order, until the first does not fit.
+
+        A smaller sequence never overtakes the head of the queue.
+        """
         started = []
         while self._waiting:
             sequence = self._waiting[0][2]
@@ -156,22 +163,22 @@
             return False
         prefix = self._prefix_of(sequence.work)
         shared_tokens = self.parameters.prefix_tokens if prefix else 0
-        own = self._blocks_for(sequence.tokens - shared_tokens)
-        self._cache.hold(prefix)
-        if not self._reserve(own + self._spare_blocks()):
+        own_blocks = self._blocks_for(sequence.tokens - shared_tokens)
+        self._cache.acquire(prefix)
+        if not self._reserve(own_blocks + self._spare_blocks()):
             self._cache.release(prefix)
             return False
         sequence.phase = "running"
         sequence.prefix = prefix
-        sequence.blocks = own
-        cached = shared_tokens if self._cache.is_ready(prefix) else 0
-        sequence.to_prefill = sequence.tokens - cached
-        self._used_blocks += own
+        sequence.blocks = own_blocks
+        cached = shared_tokens if self._cache.is_computed(prefix) else 0
+        sequence.tokens_to_prefill = sequence.tokens - cached
+        self._used_blocks += own_blocks
         self._running.append(sequence)
         return True
 
     def _prefix_of(self, work: Work) -> str:
-        """Return the prefix when the prompt reaches beyond it."""
+        """Return the prefix, or "" if the prompt is no longer than it."""
         fits = work.prompt_tokens > self.parameters.prefix_tokens
         return work.prefix if fits else ""
 
@@ -182,22 +189,28 @@
         return 1 + int(self.parameters.total_blocks * ratio)
 
     def _prefill(self) -> int:
-        """Compute a chunk of prompts, oldest first; return its tokens."""
+        """Compute a chunk of prompts, first started first.
+
+        Return the number of tokens computed.
+        """
         budget = self.parameters.prefill_tokens_per_step
         for sequence in self._running:
-            if sequence.to_prefill and budget:
-                chunk = min(budget, sequence.to_prefill)
-                sequence.to_prefill -= chunk
+            if sequence.tokens_to_prefill and budget:
+                chunk = min(budget, sequence.tokens_to_prefill)
+                sequence.tokens_to_prefill -= chunk
                 budget -= chunk
-                if not sequence.to_prefill:
-                    self._cache.mark_ready(sequence.prefix)
+                if not sequence.tokens_to_prefill:
+                    self._cache.mark_computed(sequence.prefix)
         return self.parameters.prefill_tokens_per_step - budget
 
-    def _make_room(self) -> list[str]:
-        """Give each decoding sequence the block that it needs next."""
+    def _allocate_blocks(self) -> list[str]:
+        """Allocate the next block of each decoding sequence that needs one.
+
+        Return the keys of the sequences that were preempted for it.
+        """
         preempted: list[str] = []
         for sequence in sorted(self._running, key=lambda s: s.rank):
-            if sequence.to_prefill or not self._needs_block(sequence):
+            if sequence.tokens_to_prefill or not self._needs_block(sequence):
                 continue
             while sequence.phase == "running" and not self._reserve(1):
                 preempted.append(self._preempt())
@@ -207,12 +220,15 @@
         return preempted
 
     def _needs_block(self, sequence: _Sequence) -> bool:
-        shared = self.parameters.prefix_tokens if sequence.prefix else 0
-        need = self._blocks_for(sequence.tokens + 1 - shared)
-        return sequence.phase == "running" and need > sequence.blocks
+        shared_tokens = self.parameters.prefix_tokens if sequence.prefix else 0
+        needed_blocks = self._blocks_for(sequence.tokens + 1 - shared_tokens)
+        return sequence.phase == "running" and needed_blocks > sequence.blocks
 
     def _preempt(self) -> str:
-        """Push aside the least urgent, newest; it computes all again."""
+        """Requeue the newest sequence of the lowest priority.
+
+        It loses its memory and computes all its tokens again.
+        """
         victim = max(self._running, key=lambda s: s.rank)
         self._running.remove(victim)
         self._release(victim)
@@ -244,10 +260,10 @@
         self._cache.release(sequence.prefix)
         sequence.blocks = 0
         sequence.prefix = ""
-        sequence.to_prefill = 0
+        sequence.tokens_to_prefill = 0
 
     def _reserve(self, blocks: int) -> bool:
-        """Tell whether `blocks` are free, evicting unused prefixes."""
+        """Return whether `blocks` are free, evicting unused prefixes."""
         total = self.parameters.total_blocks
         while self._used() + blocks > total:
             if not self._cache.evict():
--- a/src/balsamlift/testing/_engine_reports.py
+++ b/src/balsamlift/testing/_engine_reports.py
@@ -1,4 +1,4 @@
-"""What an engine reports late: its load and its cache events."""
+"""Delayed reports of an engine: its load and its cache events."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from balsamlift.testing._prefix_cache import CacheEvent
 from balsamlift.testing._settings import EngineSettings
 
-_LOAD_EVERY_S = 0.02
-_KEPT_EVENTS = 10_000
+_LOAD_INTERVAL_S = 0.02
+_MAX_EVENTS = 10_000
 
 
 @attrs.frozen(kw_only=True)
 class LoadReport:
-    """Answer `GET /v1/load`; `at_ms` is the wall time it was true."""
+    """Answer `GET /v1/load`; `at_ms` is the wall time of the values."""
 
     at_ms: int
     running: int
@@ -31,56 +31,59 @@
 
 @attrs.frozen(kw_only=True)
 class CachePage:
-    """Answer `GET /v1/cache`; events missing between were lost."""
+    """Answer `GET /v1/cache`; a gap in the numbering is a lost event."""
 
     next: int
     events: list[CacheEvent]
 
 
 class EngineReports:
-    """Keep what an engine reports until readers may see it."""
+    """Keep the reports of an engine until their lag has passed."""
 
     def __init__(
         self, settings: EngineSettings, clock: Clock, model: EngineModel
     ) -> None:
-        """Begin with the load of an idle engine."""
+        """Start with the load of an idle engine."""
         self._settings = settings
         self._clock = clock
         self._model = model
         self._loads = Lagged(clock, self._load_now())
-        self._load_at = 0.0
+        self._load_recorded_at = 0.0
         self._events: deque[tuple[float, CacheEvent]] = deque(
-            maxlen=_KEPT_EVENTS
+            maxlen=_MAX_EVENTS
         )
-        self._gaps = random.Random(settings.seed)
+        self._loss_random = random.Random(settings.seed)
 
     def load(self) -> LoadReport:
-        """Return the load as it was a while ago."""
+        """Return the load of `load_lag_ms` ago."""
         return self._loads.get(self._settings.load_lag_ms)
 
     def cache_page(self, seq: int) -> CachePage:
-        """Return the late events from `seq` on, without those lost."""
+        """Return the events from `seq` on that are older than the lag."""
         until = self._clock.monotonic() - self._settings.cache_lag_ms / 1_000
         events = [
             event
             for at, event in self._events
             if event.seq >= seq and at <= until
         ]
-        following = events[-1].seq + 1 if events else seq
-        return CachePage(next=following, events=events)
+        next_seq = events[-1].seq + 1 if events else seq
+        return CachePage(next=next_seq, events=events)
 
-    def note_load(self) -> None:
-        """Keep the present load, unless one was kept just now."""
+    def record_load(self) -> None:
+        """Record the present load, at most once per interval while busy."""
         now = self._clock.monotonic()
-        if self._model.idle or now - self._load_at >= _LOAD_EVERY_S:
-            self._load_at = now
+        if (
+            self._model.idle
+            or now - self._load_recorded_at >= _LOAD_INTERVAL_S
+        ):
+            self._load_recorded_at = now
             self._loads.set(self._load_now())
 
-    def note_events(self) -> None:
-        """Take the model's cache events and lose some of them."""
+    def record_events(self) -> None:
+        """Take the model's cache events and drop a random part of them."""
         now = self._clock.monotonic()
         for event in self._model.take_events():
-            if self._gaps.random() >= self._settings.cache_gap_ratio:
+            if self._loss_random.random() >= self._settings.cache_gap_ratio:
                 self._events.append((now, event))
 
     def _load_now(self) -> LoadReport:
--- a/src/balsamlift/testing/_engine_types.py
+++ b/src/balsamlift/testing/_engine_types.py
@@ -1,4 +1,4 @@
-"""What goes into and comes out of the engine model."""
+"""Inputs and outputs of the engine model."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 @attrs.frozen(kw_only=True)
 class EngineParameters:
-    """Size one engine; tokens, blocks of tokens and milliseconds."""
+    """Hold the memory, step times and limits of one engine."""
 
-    # Assumption: what is left for sequences on a mid-sized accelerator.
+    # Memory left for sequences on a mid-sized accelerator.
     memory_tokens: int = attrs.field(default=65_536, validator=above(0))
-    # The customary block size of engines with paged memory.
+    # The usual block size of engines with paged memory.
     block_tokens: int = attrs.field(default=16, validator=above(0))
-    # Assumption: reading the weights once, a mid-sized model.
+    # Reading the weights of a mid-sized model once.
     step_base_ms: float = 12.0
-    # Assumption: sampling and activations of one more sequence.
+    # Sampling and activations of one more sequence.
     step_per_sequence_ms: float = 0.15
-    # Assumption: reading 1,000 tokens of sequence memory.
+    # Reading 1,000 tokens of sequence memory.
     step_per_1k_context_ms: float = 0.08
-    # Assumption: 10,000 prompt tokens a second.
+    # 10,000 prompt tokens per second.
     prefill_tokens_per_ms: float = attrs.field(
         default=10.0, validator=above(0)
     )
-    # Assumption: prompts are computed in chunks so that decoding goes on.
+    # Prompts are computed in chunks so that decoding continues meanwhile.
     prefill_tokens_per_step: int = attrs.field(default=512, validator=above(0))
-    # Assumption: sequences in one batch at most.
+    # Maximum number of sequences in one batch.
     max_running: int = attrs.field(default=64, validator=above(0))
-    # Assumption: requests that wait before the engine refuses.
+    # Requests that may wait before the engine refuses more.
     queue_limit: int = 64
-    # Assumption: length of a shared policy text or report template.
+    # Length of a shared policy text or report template.
     prefix_tokens: int = 512
-    # Assumption: free share of memory asked for before one more starts.
+    # Share of memory that must stay free after one more sequence starts.
     admit_spare_ratio: float = attrs.field(
         default=0.01, validator=between(0, 1)
     )
@@ -46,7 +46,7 @@
 
 @attrs.frozen(kw_only=True)
 class Work:
-    """Ask for one generation; a higher `priority` goes first."""
+    """Describe one generation to run; a higher `priority` goes first."""
 
     key: str
     prompt_tokens: int
@@ -57,7 +57,7 @@
 
 @attrs.frozen(kw_only=True)
 class Step:
-    """Tell what one step did; a step with nothing to do takes 0 ms."""
+    """Hold the results of one step; a step without work takes 0 ms."""
 
     duration_ms: float = 0.0
     token_keys: list[str] = attrs.field(factory=list)
@@ -68,7 +68,7 @@
 
 @attrs.frozen(kw_only=True)
 class Load:
-    """Report load; memory in tokens, preemptions since the start."""
+    """Hold the load: memory in tokens, preemptions since the start."""
 
     running: int
     queued: int
--- a/src/balsamlift/testing/_engine_work.py
+++ b/src/balsamlift/testing/_engine_work.py
@@ -1,4 +1,4 @@
-"""Make generations and the model's work from requests."""
+"""Create generations and the work for the engine model from requests."""
 
 from __future__ import annotations
 
@@ -40,9 +40,9 @@
     settings: EngineSettings,
     output_limit: Callable[[int], int],
 ) -> Work:
-    """Return the work of a generation and note how it would end.
+    """Return the work of a generation and set how it would end.
 
-    `output_limit` tells the tokens that can follow a prompt.
+    `output_limit` returns how many tokens can follow a prompt.
     """
     request = generation.request
     prompt_tokens = request.prompt_tokens or count_tokens(request.prompt)
@@ -50,7 +50,7 @@
     if request.max_tokens:
         limit = min(limit, request.max_tokens)
     drawn = _draw_length(generation, settings)
-    generation.natural_end = "stop" if drawn <= limit else "length"
+    generation.expected_end_reason = "stop" if drawn <= limit else "length"
     return Work(
         key=generation.name,
         prompt_tokens=prompt_tokens,
@@ -61,7 +61,10 @@
 
 
 def _draw_length(generation: Generation, settings: EngineSettings) -> int:
-    """Draw by key, or by the request's seed when deterministic."""
+    """Draw the length by key, or by the salt if deterministic.
+
+    The salt of a deterministic engine depends on seed, model and version.
+    """
     request = generation.request
     seed = f"{settings.seed}:{request.key}"
     if settings.deterministic:
--- a/src/balsamlift/testing/_experiment_parts.py
+++ b/src/balsamlift/testing/_experiment_nodes.py
@@ -1,4 +1,4 @@
-"""The engines and hosts of one run, with their faults."""
+"""Simulated engines and hosts of one run, with their faults."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 @attrs.define(eq=False)
-class EngineRun:
-    """Keep one engine model and its faults."""
+class SimulatedEngine:
+    """Hold one engine model, its requests, reports and faults."""
 
     index: int
     model: EngineModel
     requests: dict[str, Request] = attrs.field(factory=dict)
-    stepping: bool = False
-    slowness: float = 1.0
+    is_stepping: bool = False
+    slow_factor: float = 1.0
     leaving: bool = False
     dead: bool = False
-    said: list[tuple[float, Load]] = attrs.field(factory=list)
+    reports: list[tuple[float, Load]] = attrs.field(factory=list)
 
     @property
     def name(self) -> str:
-        """Return its name."""
+        """Return the name under which schedulers know the engine."""
         return f"engine-{self.index}"
 
     @property
@@ -37,13 +37,14 @@
 
 
 @attrs.define(eq=False)
-class HostRun:
-    """Keep one host's policy state."""
+class SimulatedHost:
+    """Hold the scheduler of one host and the requests that it tracks."""
 
     index: int
     scheduler: Scheduler
     dead: bool = False
-    told: dict[str, int] = attrs.field(factory=dict)  # to its peers
+    # Expected tokens per engine, as last shared with the peers.
+    shared_tokens: dict[str, int] = attrs.field(factory=dict)
     tickets: dict[Ticket, Request] = attrs.field(factory=dict)
     by_request: dict[str, Ticket] = attrs.field(factory=dict)
 
--- a/src/balsamlift/testing/_experiment_workload.py
+++ b/src/balsamlift/testing/_experiment_workload.py
@@ -1,4 +1,4 @@
-"""What callers ask for in the experiment: kinds, workspaces, arrivals."""
+"""Workload of the experiment: request kinds, workspaces and arrivals."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @attrs.frozen(kw_only=True)
 class WorkKind:
-    """Describe one kind of request; lengths are log-normal."""
+    """Describe one kind of request; its lengths are log-normal."""
 
     name: str
     share: float  # of the requests
     priority: int  # 0 is served first
-    prompt_median: int  # beyond the shared prefix, tokens
+    prompt_median: int  # tokens beyond the shared prefix
     prompt_sigma: float
     output_median: int  # tokens
     output_sigma: float
@@ -31,35 +31,35 @@
 
     @property
     def short(self) -> bool:
-        """Tell whether it is short work."""
+        """Return whether it is short work, which has the first priority."""
         return self.priority == 0
 
 
 @attrs.frozen(kw_only=True)
 class Deployment:
-    """Describe one of the two deployments."""
+    """Describe the size, the workload and the policy of a deployment."""
 
     name: str
     hosts: int
     engines: int
     kinds: tuple[WorkKind, ...]
-    weights: tuple[float, ...]  # of its workspaces
+    weights: tuple[float, ...]  # one per workspace
     policy: Policy
 
 
 @attrs.frozen(kw_only=True)
 class Arrival:
-    """Hold one request and the length that nobody knows."""
+    """Hold one request and its output length, unknown to the scheduler."""
 
     at_ms: float
-    ask: PlacementRequest
+    placement_request: PlacementRequest
     output_tokens: int
     short: bool
 
 
 @attrs.frozen(kw_only=True)
-class Crowd:
-    """Multiply the arrivals of one workspace for a while."""
+class FlashCrowd:
+    """Multiply the arrivals of one workspace between two times."""
 
     workspace: str
     start_ms: float
@@ -68,35 +68,35 @@
 
 
 def workspace_name(index: int) -> str:
-    """Return the name of a workspace."""
+    """Return the name of the workspace at `index`."""
     return f"workspace-{index}"
 
 
-def draw(
+def draw_arrival(
     deployment: Deployment, random: Random, at_ms: float, index: int
 ) -> Arrival:
-    """Draw one request."""
+    """Draw one request of a workspace chosen by weight."""
     weights = deployment.weights
     chosen = random.choices(range(len(weights)), weights)[0]
-    return draw_for(deployment, random, at_ms, index, chosen)
+    return draw_workspace_arrival(deployment, random, at_ms, index, chosen)
 
 
-def draw_for(
+def draw_workspace_arrival(
     deployment: Deployment,
     random: Random,
     at_ms: float,
     index: int,
     workspace: int,
 ) -> Arrival:
-    """Draw one request of a workspace."""
+    """Draw one request of the workspace at the index `workspace`."""
     shares = [kind.share for kind in deployment.kinds]
     kind = random.choices(deployment.kinds, shares)[0]
     name = workspace_name(workspace)
-    # Workspaces write answers of different lengths.
+    # The workspaces get answers of different lengths.
     scale = 0.7 + 0.6 * workspace / len(deployment.weights)
     output = _log_normal(random, kind.output_median * scale, kind.output_sigma)
     own_prompt = _log_normal(random, kind.prompt_median, kind.prompt_sigma)
-    ask = PlacementRequest(
+    placement_request = PlacementRequest(
         key=f"request-{index}",
         workspace=name,
         weight=deployment.weights[workspace],
@@ -111,7 +111,7 @@
     )
     return Arrival(
         at_ms=at_ms,
-        ask=ask,
+        placement_request=placement_request,
         output_tokens=min(output, kind.max_tokens),
         short=kind.short,
     )
@@ -122,13 +122,13 @@
     rate_per_s: float,
     duration_ms: float,
     seed: int,
-    crowd: Crowd | None = None,
+    crowd: FlashCrowd | None = None,
 ) -> Iterator[Arrival]:
-    """Draw Poisson arrivals in order of time."""
+    """Yield Poisson arrivals, and those of a crowd, in order of time."""
     random = Random(seed)
     merged = list(_steady(deployment, rate_per_s, duration_ms, random))
     if crowd is not None:
-        merged += _crowd(deployment, rate_per_s, crowd, random)
+        merged += _flash_crowd(deployment, rate_per_s, crowd, random)
     yield from sorted(merged, key=lambda arrival: arrival.at_ms)
 
 
@@ -145,11 +145,14 @@
         if at_ms >= duration_ms:
             return
         index += 1
-        yield draw(deployment, random, at_ms, index)
+        yield draw_arrival(deployment, random, at_ms, index)
 
 
-def _crowd(
-    deployment: Deployment, rate_per_s: float, crowd: Crowd, random: Random
+def _flash_crowd(
+    deployment: Deployment,
+    rate_per_s: float,
+    crowd: FlashCrowd,
+    random: Random,
 ) -> Iterator[Arrival]:
     names = [workspace_name(i) for i in range(len(deployment.weights))]
     workspace = names.index(crowd.workspace)
@@ -162,7 +165,9 @@
         if at_ms >= crowd.end_ms:
             return
         index += 1
-        yield draw_for(deployment, random, at_ms, index, workspace)
+        yield draw_workspace_arrival(
+            deployment, random, at_ms, index, workspace
+        )
 
 
 def _log_normal(random: Random, median: float, sigma: float) -> int:
--- a/src/balsamlift/testing/_generation.py
+++ b/src/balsamlift/testing/_generation.py
@@ -1,4 +1,4 @@
-"""One generation: its tokens so far and who waits for more."""
+"""One generation: its frames, its tokens so far and its readers."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     workspace: str = ""
     kind: str = ""
     prompt: str = ""
-    prompt_tokens: int | None = None  # else estimated from the prompt
+    prompt_tokens: int | None = None  # None: estimated from the prompt
     prefix: str | None = None
     max_tokens: int | None = None
     priority: int = 0  # higher goes first
-    model: str = ""  # refused by an engine that runs another; "": any
-    seed: int | None = None  # else the key stands for it
+    model: str = ""  # an engine that runs another refuses; "": any
+    seed: int | None = None  # None: the key is the seed
 
 
 @attrs.frozen(kw_only=True)
 class StartFrame:
-    """Begin a stream."""
+    """Hold the first frame of a stream."""
 
     generation: str
     key: str
@@ -45,7 +45,7 @@
 
 @attrs.frozen(kw_only=True)
 class EndFrame:
-    """End a stream; `tokens` counts all of the generation."""
+    """End a stream; `tokens` counts all tokens of the generation."""
 
     generation: str
     tokens: int
@@ -64,7 +64,7 @@
 
 @attrs.frozen(kw_only=True)
 class Refusal:
-    """Say why a request was kept out; it certainly did not run."""
+    """Hold why a request was refused; a refused request never ran."""
 
     reason: str
     retry_after_ms: int
@@ -82,18 +82,18 @@
         self._waiter: asyncio.Future[None] | None = None
 
     def notify(self, count: int, ended: bool) -> None:
-        """Wake when a full frame is ready or nothing more will come."""
+        """Wake the waiter if a full frame is ready or no more will come."""
         if ended or count - self.index >= self._batch:
             self.stop()
 
     def stop(self) -> None:
-        """Wake a wait at once."""
+        """Wake the waiter at once."""
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
     async def wait(self, timeout_s: float) -> None:
-        """Wait to be woken, `timeout_s` at most."""
-        # Not `asyncio.wait_for`, which makes a task for each token.
+        """Wait to be woken, for `timeout_s` at most."""
+        # `asyncio.wait_for` would create a task for each token.
         loop = asyncio.get_running_loop()
         self._waiter = loop.create_future()
         timer = loop.call_later(timeout_s, self.stop)
@@ -104,17 +104,17 @@
 
 
 class Generation:
-    """Hold what one generation has produced."""
+    """Hold the tokens, the end and the readers of one generation."""
 
     def __init__(
         self, name: str, request: GenerationRequest, start: StartFrame
     ) -> None:
-        """Begin without tokens."""
+        """Start without tokens."""
         self.name = name
         self.request = request
         self.start = start
         self.salt = name
-        self.natural_end = "stop"
+        self.expected_end_reason = "stop"
         self.tokens: list[str] = []
         self.started = False
         self.end_reason = ""
@@ -127,12 +127,12 @@
         self._notify()
 
     def end(self, reason: str) -> None:
-        """Note the end; only the first reason counts."""
+        """End the generation; a reason set before stays."""
         self.end_reason = self.end_reason or reason
         self._notify()
 
     def key_state(self) -> KeyState:
-        """Tell how far the generation is."""
+        """Return whether the generation runs and its tokens so far."""
         return KeyState(
             state="done" if self.end_reason else "running",
             generation=self.name,
--- a/src/balsamlift/testing/_keyed_store.py
+++ b/src/balsamlift/testing/_keyed_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store of keyed records, with its faults."""
+"""Stand-in for the platform's store of keyed records, with its faults."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 Fault = Literal["", "silent", "busy", "many", "lost"]
 
-_NUMBERS = struct.Struct(">QQ")
+_OFFSETS = struct.Struct(">QQ")
 _LENGTH = struct.Struct(">I")
 _STATUS: dict[Fault, int] = {"busy": 503, "many": 429}
 CHUNK_BYTES = 4_096  # written and flushed at once
-PAGE = 3  # records a page, so that tests see several
+PAGE_RECORDS = 3  # records per page; small, so that tests read several pages
 
 
 @attrs.define
 class Topic:
-    """Hold the records of one topic, from the first one kept."""
+    """Hold the retained records of one topic, and the newest of each key."""
 
     first: int = 0
     records: list[tuple[str, bytes]] = attrs.field(factory=list)
     newest: dict[str, tuple[int, bytes]] = attrs.field(factory=dict)
-    grown: asyncio.Event = attrs.field(factory=asyncio.Event)
+    appended: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     @property
     def end(self) -> int:
@@ -37,27 +37,28 @@
         return self.first + len(self.records)
 
     def append(self, key: str, value: bytes) -> None:
-        """Append a record; without a value, the key is dropped."""
+        """Append a record; an empty value deletes the key."""
         if value:
             self.newest[key] = (self.end, value)
         else:
             self.newest.pop(key, None)
         self.records.append((key, value))
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.appended.set()
+        self.appended = asyncio.Event()
 
 
 class KeyedStore:
     """Serve keyed topics on a port of 127.0.0.1."""
 
     def __init__(self) -> None:
-        """Begin empty; `start` listens."""
+        """Start empty; `start` begins to listen."""
         self.topics: dict[str, Topic] = {}
         self.fault: Fault = ""
-        self.silent_topics: set[str] = set()  # that answer nothing
+        self.silent_topics: set[str] = set()  # requests for them hang
         self.calls: list[str] = []
         self.era: int | str = 0  # sent in answers; 0: not sent
-        self.max_read_bytes: int | None = None  # of records; None: no limit
+        # Cuts the records of a read, also within a record; None: no limit.
+        self.max_read_bytes: int | None = None
         self.bytes_per_s: float | None = None  # None: no limit
         self.stall_after_bytes: int | None = None  # in each answer
         self._server = HTTPServer(
@@ -73,7 +74,7 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen on a free port."""
         sockets = bind_sockets(0, "127.0.0.1")
         self._server.add_sockets(sockets)
         self.address = f"127.0.0.1:{sockets[0].getsockname()[1]}"
@@ -84,13 +85,14 @@
         await self._server.close_all_connections()
 
     def topic(self, name: str) -> Topic:
-        """Return a topic, made on first use."""
+        """Return a topic, creating it on first use."""
         return self.topics.setdefault(name, Topic())
 
     def restore(self, kept: int) -> None:
-        """Restore a copy that holds the first `kept` records of each topic.
+        """Restore a backup with the first `kept` records of each topic.
 
-        Topics whose history was dropped by `forget` are not supported.
+        The store then begins a new era. Topics whose history was dropped
+        by `forget` are not supported.
         """
         assert isinstance(self.era, int)
         self.era += 1
@@ -102,12 +104,12 @@
                 topic.append(key, value)
 
     def forget(self, name: str) -> None:
-        """Drop the history of a topic; the newest of each key is kept."""
+        """Drop the history of a topic, but keep the newest of each key."""
         topic = self.topic(name)
         topic.first = topic.end
         topic.records.clear()
-        topic.grown.set()
-        topic.grown = asyncio.Event()
+        topic.appended.set()
+        topic.appended = asyncio.Event()
 
 
 class _Handler(RequestHandler):
@@ -129,7 +131,7 @@
         return self.store.topic(self.get_query_argument("Topic"))
 
     async def send_body(self, body: bytes) -> None:
-        """Send `body` at the rate set in the store, and stall where set."""
+        """Send `body` at the store's rate, and stall after its limit."""
         self.set_header("Content-Length", len(body))
         rate = self.store.bytes_per_s
         stall_after = self.store.stall_after_bytes
@@ -154,11 +156,11 @@
                 "Value": base64.b64encode(topic.newest[key][1]).decode(),
                 "Offset": topic.newest[key][0],
             }
-            for key in keys[:PAGE]
+            for key in keys[:PAGE_RECORDS]
         ]
         page = {
             "Items": items,
-            "HasMore": len(keys) > PAGE,
+            "HasMore": len(keys) > PAGE_RECORDS,
             "EndOffset": topic.end,
         }
         await self.send_body(json.dumps(page).encode())
@@ -170,17 +172,17 @@
         start = int(self.get_query_argument("From"))
         wait_s = int(self.get_query_argument("WaitMs", "0")) / 1_000
         if start >= topic.end and wait_s:
-            waiting = topic.grown.wait()
+            waiting = topic.appended.wait()
             try:
                 await asyncio.wait_for(waiting, wait_s)
             except TimeoutError:
-                self.write(_NUMBERS.pack(topic.end, topic.first))
+                self.write(_OFFSETS.pack(topic.end, topic.first))
                 return
         if start < topic.first or start > topic.end:
             self.set_status(410)
             self.write({"FirstOffset": topic.first})
             return
-        encoded = [_NUMBERS.pack(topic.end, topic.first)]
+        encoded = [_OFFSETS.pack(topic.end, topic.first)]
         for key, value in topic.records[start - topic.first :]:
             content = bytes([len(key)]) + key.encode() + value
             encoded.append(_LENGTH.pack(len(content)) + content)
--- a/src/balsamlift/testing/_lagged.py
+++ b/src/balsamlift/testing/_lagged.py
@@ -1,4 +1,4 @@
-"""Values that readers see late."""
+"""Values that readers see after a delay."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 T = TypeVar("T")
 
-_KEPT = 10_000
+_MAX_VALUES = 10_000
 
 
 class Lagged(Generic[T]):
-    """Keep past values so that readers can be given an old one."""
+    """Keep past values so that readers can get the one of a past time."""
 
     def __init__(self, clock: Clock, first: T) -> None:
-        """Begin with `first`, as if it had always been so."""
+        """Start with `first` as the value of all past times."""
         self._clock = clock
         self._first = first
-        self._values: deque[tuple[float, T]] = deque(maxlen=_KEPT)
+        self._values: deque[tuple[float, T]] = deque(maxlen=_MAX_VALUES)
 
     def set(self, value: T) -> None:
-        """Note the value from now on."""
+        """Set the value from now on."""
         self._values.append((self._clock.monotonic(), value))
 
     def get(self, lag_ms: float) -> T:
--- a/src/balsamlift/testing/_link.py
+++ b/src/balsamlift/testing/_link.py
@@ -1,4 +1,4 @@
-"""The stand-in of a network link: a TCP relay whose faults can be set."""
+"""Stand-in for a network link: a TCP relay with injectable faults."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 
 _CHUNK_BYTES = 65_536
 _BACKLOG = 1_024
-_END_LOOK_S = 0.01
+_CLOSE_POLL_S = 0.01
 
 
 @attrs.frozen(kw_only=True)
 class LinkFaults:
-    """Choose what goes wrong on a link.
+    """Hold the faults of a link, as set by `POST /control/faults`.
 
-    Stalled bytes are held and go on after the stall. Forward is from the
-    side that connects to the target.
+    Stalled bytes are held and delivered after the stall. Forward is the
+    direction from the side that connects to the target.
     """
 
-    cut: bool = False  # refuse new connections, close the open ones
+    cut: bool = False  # refuse new connections and close the open ones
     stall_forward: bool = False
     stall_backward: bool = False
     delay_ms: int = 0
-    # Setting it makes the connections then open silent for good.
+    # The connections that are open when this is set never relay bytes again.
     silence_existing: bool = False
 
 
 class Link:
-    """Relay connections from one address to another."""
+    """Relay TCP connections from one address to another."""
 
     def __init__(self, settings: LinkSettings) -> None:
-        """Bind both addresses."""
+        """Bind the relayed address and the control address."""
         self.settings = settings
         self.control = Control(LinkFaults())
         self._control_listener = Listener(settings.control_address)
@@ -57,10 +57,10 @@
         await self._accept()
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the listeners and wait for all connections to end."""
         self._close()
-        while self._open:  # each ends once both of its ways have
-            await asyncio.sleep(_END_LOOK_S)
+        while self._open:  # each ends once both directions have ended
+            await asyncio.sleep(_CLOSE_POLL_S)
         await self._control_listener.stop()
 
     def ready(self) -> dict[str, Any]:
@@ -72,11 +72,11 @@
         }
 
     def count(self) -> dict[str, Any]:
-        """Return what was counted."""
+        """Return the counters for `GET /control/counts`."""
         return {"accepted": self._accepted, "open": len(self._open)}
 
     def _apply(self, _: LinkFaults, faults: LinkFaults) -> None:
-        if faults.silence_existing:  # only for those open now
+        if faults.silence_existing:  # affects only connections open now
             self.control.faults = attrs.evolve(faults, silence_existing=False)
         for connection in self._open:
             connection.silent |= faults.silence_existing
@@ -120,13 +120,13 @@
             connection.abort()
 
 
-Ends = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+StreamPair = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 class _Connection:
-    """Copy bytes both ways between a caller and its target."""
+    """Copy bytes in both directions between a caller and its target."""
 
-    def __init__(self, caller: Ends, target: Ends) -> None:
+    def __init__(self, caller: StreamPair, target: StreamPair) -> None:
         self.silent = False
         self._caller = caller
         self._target = target
@@ -135,20 +135,20 @@
         self._delay_s = 0.0
 
     def apply(self, faults: LinkFaults) -> None:
-        """Let bytes pass, or hold them, as the faults say."""
+        """Set the delay, and open or close the gate of each direction."""
         self._delay_s = faults.delay_ms / 1_000
-        _open_gate(self._forward, not (self.silent or faults.stall_forward))
-        _open_gate(self._backward, not (self.silent or faults.stall_backward))
+        _set_gate(self._forward, not (self.silent or faults.stall_forward))
+        _set_gate(self._backward, not (self.silent or faults.stall_backward))
 
     async def run(self) -> None:
-        """Copy until both ways have ended."""
+        """Copy until both directions have ended."""
         await asyncio.gather(
             self._copy(self._caller[0], self._target[1], self._forward),
             self._copy(self._target[0], self._caller[1], self._backward),
         )
 
     def abort(self) -> None:
-        """Close both ends at once and let go of held bytes."""
+        """Close both ends at once and release the held bytes."""
         self._forward.set()
         self._backward.set()
         self._caller[1].transport.abort()
@@ -160,24 +160,24 @@
         writer: asyncio.StreamWriter,
         gate: asyncio.Event,
     ) -> None:
-        """Copy one way; a delay or closed gate holds its end back too."""
+        """Copy one direction; a delay or closed gate also holds its EOF."""
         try:
             while data := await reader.read(_CHUNK_BYTES):
-                await self._hold(gate)
+                await self._wait_for_gate(gate)
                 writer.write(data)
                 await writer.drain()
-            await self._hold(gate)
+            await self._wait_for_gate(gate)
             writer.write_eof()
-        except OSError:  # one way broken: a broken connection
+        except OSError:  # an error in one direction breaks the connection
             self.abort()
 
-    async def _hold(self, gate: asyncio.Event) -> None:
+    async def _wait_for_gate(self, gate: asyncio.Event) -> None:
         await asyncio.sleep(self._delay_s)
         await gate.wait()
 
 
-def _open_gate(gate: asyncio.Event, passing: bool) -> None:
-    if passing:
+def _set_gate(gate: asyncio.Event, is_open: bool) -> None:
+    if is_open:
         gate.set()
     else:
         gate.clear()
--- a/src/balsamlift/testing/_log_store.py
+++ b/src/balsamlift/testing/_log_store.py
@@ -1,4 +1,4 @@
-"""The records of the platform's log, with offsets and retention."""
+"""Records of the platform's log, with offsets and retention."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @attrs.frozen(kw_only=True)
 class LogPage:
-    """Answer a read; `next` is where to read on."""
+    """Answer a read; `next` is the offset to continue at."""
 
     earliest: int
     next: int
@@ -30,12 +30,12 @@
 
 
 class LogStore:
-    """Append records in order and forget the old ones."""
+    """Append records in order and expire them by age and number."""
 
     def __init__(
         self, clock: Clock, retention_ms: int, retention_records: int
     ) -> None:
-        """Begin empty at offset 0."""
+        """Start empty at offset 0."""
         self._clock = clock
         self._retention_ms = retention_ms
         self._retention_records = retention_records
@@ -49,7 +49,7 @@
         return self._end
 
     def append(self, records: list[Any]) -> list[int]:
-        """Append and return the offsets."""
+        """Append records and return their offsets."""
         first = self._end
         at_ms = self._now_ms()
         for record in records:
@@ -63,7 +63,7 @@
 
     def read(self, offset: int, limit: int) -> LogPage:
         """Return up to `limit` records from `offset` on."""
-        self._expire()
+        self._drop_expired()
         earliest = self._end - len(self._records)
         start = min(max(offset, earliest), self._end)
         skip = start - earliest
@@ -74,18 +74,18 @@
         )
 
     async def wait_beyond(self, offset: int, wait_ms: int) -> None:
-        """Wait until a record at `offset` exists, `wait_ms` at most."""
+        """Wait for a record at `offset`, for `wait_ms` at most."""
         deadline = self._clock.monotonic() + wait_ms / 1_000
         while self._end <= offset:
-            left_s = deadline - self._clock.monotonic()
-            if left_s <= 0:
+            remaining_s = deadline - self._clock.monotonic()
+            if remaining_s <= 0:
                 return
             try:
-                await asyncio.wait_for(self._appended.wait(), left_s)
+                await asyncio.wait_for(self._appended.wait(), remaining_s)
             except TimeoutError:
                 return
 
-    def _expire(self) -> None:
+    def _drop_expired(self) -> None:
         oldest_ms = self._now_ms() - self._retention_ms
         while self._records and (
             len(self._records) > self._retention_records
--- a/src/balsamlift/testing/_orders.py
+++ b/src/balsamlift/testing/_orders.py
@@ -1,4 +1,4 @@
-"""The orders that an engine takes, and the loads that they cause."""
+"""Orders that an engine accepts, and the model loads that they start."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class Order:
-    """Hold the body of `POST /v1/orders`: a wanted end state."""
+    """Hold the body of `POST /v1/orders`: the desired state."""
 
     fence: int
     generation: int = 0
@@ -40,10 +40,10 @@
 
 
 class Orders:
-    """Carry out orders; an engine that checks refuses an older fence."""
+    """Apply orders; an engine that checks fences refuses an older one."""
 
     def __init__(self, settings: EngineSettings, clock: Clock) -> None:
-        """Begin with what the settings say is loaded."""
+        """Start with the model that the settings name as loaded."""
         self._settings = settings
         self._clock = clock
         self._client = HttpClient()
@@ -57,13 +57,13 @@
             fence=0,
             loading=False,
         )
-        self._wanted = (settings.model, settings.version)
+        self._desired = (settings.model, settings.version)
         self.accepted = 0
         self.refused = 0
         self.loads = 0
 
     def take(self, order: Order) -> bool:
-        """Begin to carry out an order; false when its fence is stale."""
+        """Start to apply an order; return false if its fence is stale."""
         if self._settings.checks_fence and order.fence < self.state.fence:
             self.refused += 1
             return False
@@ -74,24 +74,24 @@
             adapters=order.adapters,
             role=order.role,
         )
-        wanted = (order.model, order.version)
-        if wanted != self._wanted:
-            self._wanted = wanted
+        desired = (order.model, order.version)
+        if desired != self._desired:
+            self._desired = desired
             self._stop_loading()
             self._start_loading(order)
         return True
 
     def set_draining(self, draining: bool) -> None:
-        """Note whether the engine is leaving."""
+        """Set whether the engine refuses new requests before it leaves."""
         self.state = attrs.evolve(self.state, draining=draining)
 
     def close(self) -> None:
-        """End a load that is under way."""
+        """Cancel a model load in progress and close the client."""
         self._stop_loading()
         self._client.close()
 
     def _start_loading(self, order: Order) -> None:
-        if self._wanted != (self.state.model, self.state.version):
+        if self._desired != (self.state.model, self.state.version):
             self.state = attrs.evolve(self.state, loading=True)
             self._task = asyncio.create_task(self._load(order))
 
@@ -114,7 +114,7 @@
         )
 
     async def _fetch_weights(self, order: Order) -> None:
-        """Ask the weight store until it gives the weights out."""
+        """Request the weights until the weight store returns them."""
         base = f"http://{self._settings.platform_address}/v1/weights"
         url = f"{base}/{order.model}/{order.version}"
         while True:
--- a/src/balsamlift/testing/_platform.py
+++ b/src/balsamlift/testing/_platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in: log, list of hosts, weight store."""
+"""Stand-in for the platform: log, list of hosts and weight store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from balsamlift.exceptions import SettingsError
 from balsamlift.testing._lagged import Lagged
 from balsamlift.testing._log_store import LogStore
-from balsamlift.testing._rates import AppendBucket, WeightQueue
+from balsamlift.testing._rate_limits import AppendLimiter, WeightQueue
 from balsamlift.testing._settings import PlatformSettings
 from balsamlift.testing._stand_in import (
     Control,
@@ -24,22 +24,22 @@
     control_routes,
 )
 
-FOREVER_S = 3_600.0  # how long an answer that never comes is withheld
+FOREVER_S = 3_600.0  # longer than any caller waits for an answer
 
-_READ_LIMIT = 1_000
-_LONGEST_WAIT_MS = 30_000
+_MAX_READ_RECORDS = 1_000
+_MAX_WAIT_MS = 30_000
 _DOWN_RETRY_MS = 1_000
 
 
 @attrs.frozen(kw_only=True)
 class PlatformFaults:
-    """Choose what goes wrong at the platform."""
+    """Hold the platform's faults, as set by `POST /control/faults`."""
 
-    down: bool = False  # the log answers 503 and does nothing
-    silent: bool = False  # the log neither does nor answers anything
-    slow_ms: int = 0  # log answers come late, effects do not
-    late_ms: int = 0  # appends take effect late
-    # Appends take effect and then get no answer, or 503.
+    down: bool = False  # the log answers 503 and has no effect
+    silent: bool = False  # the log has no effect and never answers
+    slow_ms: int = 0  # delays the answers of the log, but not the effects
+    late_ms: int = 0  # delays the effects of appends
+    # Appends take effect, but are then not answered, or with 503.
     lose_answers: str = attrs.field(
         default="no", validator=one_of("no", "silent", "503")
     )
@@ -50,13 +50,13 @@
 
 @attrs.frozen(kw_only=True)
 class AppendRequest:
-    """Hold the body of an append."""
+    """Hold the body of `POST /v1/log/append`."""
 
     records: list[Any]
 
 
 class Platform:
-    """Run the platform's stand-in."""
+    """Serve the log, the list of hosts and the weight store."""
 
     def __init__(self, settings: PlatformSettings, clock: Clock) -> None:
         """Bind the address."""
@@ -65,7 +65,7 @@
         self.store = LogStore(
             clock, settings.log_retention_ms, settings.log_retention_records
         )
-        self.appends = AppendBucket(clock, settings.log_appends_per_s)
+        self.appends = AppendLimiter(clock, settings.log_appends_per_s)
         self.weights = WeightQueue(clock, settings.weight_loads_per_s)
         self.hosts: dict[str, HostEntry] = {}
         self.seen_hosts: Lagged[list[HostEntry]] = Lagged(clock, [])
@@ -83,13 +83,13 @@
 
     async def start(self) -> None:
         """Accept connections."""
-        mine = {"platform": self}
+        arguments = {"platform": self}
         routes: Routes = [
-            (r"/v1/log/append", AppendHandler, mine),
-            (r"/v1/log/read", ReadHandler, mine),
-            (r"/v1/hosts", HostsHandler, mine),
-            (r"/v1/hosts/([^/]+)", HostHandler, mine),
-            (r"/v1/weights/([^/]+)/([^/]+)", WeightsHandler, mine),
+            (r"/v1/log/append", AppendHandler, arguments),
+            (r"/v1/log/read", ReadHandler, arguments),
+            (r"/v1/hosts", HostsHandler, arguments),
+            (r"/v1/hosts/([^/]+)", HostHandler, arguments),
+            (r"/v1/weights/([^/]+)/([^/]+)", WeightsHandler, arguments),
         ]
         self._listener.start(routes + control_routes(self.control, self.count))
 
@@ -105,7 +105,7 @@
         }
 
     def count(self) -> dict[str, Any]:
-        """Return what was counted."""
+        """Return the counters for `GET /control/counts`."""
         return {
             **self.counts,
             "end": self.store.end,
@@ -121,18 +121,18 @@
 
 
 class PlatformHandler(JsonHandler):
-    """Know the platform."""
+    """Give handlers access to the platform."""
 
     def initialize(self, platform: Platform) -> None:
-        """Keep the platform."""
+        """Store the platform that this handler serves."""
         self._platform = platform
 
     async def withhold(self) -> None:
-        """Give no answer, as long as any caller may wait."""
+        """Delay the answer for longer than any caller waits."""
         await self._platform.clock.sleep(FOREVER_S)
 
-    async def is_down(self) -> bool:
-        """Answer for a log that is down or silent."""
+    async def refuse_if_down(self) -> bool:
+        """Return whether the log is down or silent, after refusing."""
         faults = self._platform.faults
         if faults.silent:
             await self.withhold()
@@ -141,17 +141,17 @@
         return faults.silent or faults.down
 
     async def delay(self) -> None:
-        """Wait as long as a slow log does."""
+        """Delay the answer by `slow_ms`."""
         await self._platform.clock.sleep(self._platform.faults.slow_ms / 1_000)
 
 
 class AppendHandler(PlatformHandler):
-    """Append to the log."""
+    """Handle `POST /v1/log/append`."""
 
     async def post(self) -> None:
-        """Append the records of the body."""
+        """Append the records in the body, within the rate limit."""
         platform = self._platform
-        if await self.is_down():
+        if await self.refuse_if_down():
             return
         retry_after_ms = platform.appends.take()
         if retry_after_ms:
@@ -165,7 +165,7 @@
         await self._answer(offsets)
 
     async def _append(self, records: list[Any]) -> list[int]:
-        """Append, also when the caller has gone meanwhile."""
+        """Append, also if the caller has disconnected meanwhile."""
         platform = self._platform
         late_ms = platform.faults.late_ms
         if late_ms:
@@ -185,29 +185,31 @@
 
 
 class ReadHandler(PlatformHandler):
-    """Read the log."""
+    """Handle `GET /v1/log/read`."""
 
     async def get(self) -> None:
-        """Return a page, waiting for the first record when asked to."""
-        if await self.is_down():
+        """Return a page, waiting up to `wait_ms` for its first record."""
+        if await self.refuse_if_down():
             return
         store = self._platform.store
-        offset = self.number("from", 0)
-        limit = min(self.number("limit", _READ_LIMIT), _READ_LIMIT)
-        wait_ms = min(self.number("wait_ms", 0), _LONGEST_WAIT_MS)
+        offset = self.query_int("from", 0)
+        limit = min(
+            self.query_int("limit", _MAX_READ_RECORDS), _MAX_READ_RECORDS
+        )
+        wait_ms = min(self.query_int("wait_ms", 0), _MAX_WAIT_MS)
         await store.wait_beyond(offset, wait_ms)
         await self.delay()
-        if await self.is_down():  # it may have gone down meanwhile
+        if await self.refuse_if_down():  # may have changed during the wait
             return
         self._platform.counts["reads"] += 1
         self.reply(store.read(offset, limit))
 
 
 class HostsHandler(PlatformHandler):
-    """Tell the list of hosts."""
+    """Handle `GET /v1/hosts`."""
 
     def get(self) -> None:
-        """Return the list as it was a while ago."""
+        """Return the list of `hosts_lag_ms` ago."""
         faults = self._platform.faults
         if faults.hosts_down:
             self.refuse(503, "down", retry_after_ms=_DOWN_RETRY_MS)
@@ -217,11 +219,11 @@
 
 
 class HostHandler(PlatformHandler):
-    """Change one entry of the list."""
+    """Handle `PUT` and `DELETE /v1/hosts/NAME`."""
 
     def put(self, name: str) -> None:
         """Set the entry."""
-        if self._refuse_when_down():
+        if self._refuse_if_hosts_down():
             return
         body = self.read(dict[str, Any])
         if body is None:
@@ -236,12 +238,12 @@
 
     def delete(self, name: str) -> None:
         """Remove the entry."""
-        if self._refuse_when_down():
+        if self._refuse_if_hosts_down():
             return
         self._platform.set_host(name, None)
         self.reply({})
 
-    def _refuse_when_down(self) -> bool:
+    def _refuse_if_hosts_down(self) -> bool:
         down = self._platform.faults.hosts_down
         if down:
             self.refuse(503, "down", retry_after_ms=_DOWN_RETRY_MS)
@@ -249,10 +251,10 @@
 
 
 class WeightsHandler(PlatformHandler):
-    """Give out weights at a limited rate."""
+    """Handle `GET /v1/weights/MODEL/VERSION` at a limited rate."""
 
     async def get(self, model: str, version: str) -> None:
-        """Answer once the weights have come."""
+        """Answer once the weights are loaded, or refuse when too many wait."""
         platform = self._platform
         if platform.faults.weights_down:
             self.refuse(503, "down", retry_after_ms=_DOWN_RETRY_MS)
--- a/src/balsamlift/testing/_prefix_cache.py
+++ b/src/balsamlift/testing/_prefix_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of an engine: shared, reference counted, LRU."""
+"""Shared prefix cache of an engine: reference counted, LRU eviction."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen(kw_only=True)
 class CacheEvent:
-    """Tell that a prefix was stored or evicted; `seq` counts from 0."""
+    """Report that a prefix was stored or evicted; `seq` starts at 0."""
 
     seq: int
     kind: Literal["stored", "evicted"]
@@ -19,15 +19,15 @@
 
 @attrs.define
 class _Entry:
-    holders: int = 0
-    ready: bool = False
+    references: int = 0
+    computed: bool = False
 
 
 class PrefixCache:
-    """Keep prefixes of one size; the empty name stands for none."""
+    """Cache prefixes of equal size; the empty name means no prefix."""
 
     def __init__(self, blocks_per_prefix: int) -> None:
-        """Begin empty."""
+        """Start empty."""
         self._blocks_per_prefix = blocks_per_prefix
         self._entries: OrderedDict[str, _Entry] = OrderedDict()
         self._events: list[CacheEvent] = []
@@ -35,48 +35,51 @@
 
     @property
     def blocks(self) -> int:
-        """Return the blocks taken by all prefixes."""
+        """Return the number of blocks that all prefixes use."""
         return len(self._entries) * self._blocks_per_prefix
 
-    def hold(self, name: str) -> None:
-        """Keep a prefix from eviction, adding it when it is missing."""
+    def acquire(self, name: str) -> None:
+        """Add a reference that protects a prefix, new if missing."""
         if not name:
             return
         entry = self._entries.setdefault(name, _Entry())
-        entry.holders += 1
+        entry.references += 1
         self._entries.move_to_end(name)
 
     def release(self, name: str) -> None:
-        """Undo one `hold`; a prefix never computed goes at once."""
+        """Undo one `acquire`; drop an unreferenced prefix never computed."""
         if not name:
             return
         entry = self._entries[name]
-        entry.holders -= 1
-        if not entry.holders and not entry.ready:
+        entry.references -= 1
+        if not entry.references and not entry.computed:
             del self._entries[name]
 
-    def is_ready(self, name: str) -> bool:
-        """Tell whether the prefix is computed."""
+    def is_computed(self, name: str) -> bool:
+        """Return whether the prefix is computed."""
         entry = self._entries.get(name)
-        return entry is not None and entry.ready
+        return entry is not None and entry.computed
 
-    def mark_ready(self, name: str) -> None:
-        """Note that a held prefix is computed."""
+    def mark_computed(self, name: str) -> None:
+        """Mark a referenced prefix as computed."""
         entry = self._entries.get(name)
-        if entry is not None and not entry.ready:
-            entry.ready = True
-            self._tell("stored", name)
+        if entry is not None and not entry.computed:
+            entry.computed = True
+            self._record_event("stored", name)
 
-    def ready_names(self) -> list[str]:
+    def computed_names(self) -> list[str]:
         """Return the computed prefixes, least recently used first."""
-        return [name for name, e in self._entries.items() if e.ready]
+        return [name for name, e in self._entries.items() if e.computed]
 
     def evict(self) -> bool:
-        """Drop the least recently used free prefix, if there is one."""
+        """Drop the least recently used prefix without references.
+
+        Return false if every prefix is referenced.
+        """
         for name, entry in self._entries.items():
-            if not entry.holders:
+            if not entry.references:
                 del self._entries[name]
-                self._tell("evicted", name)
+                self._record_event("evicted", name)
                 return True
         return False
 
@@ -86,7 +89,9 @@
         self._events = []
         return events
 
-    def _tell(self, kind: Literal["stored", "evicted"], name: str) -> None:
+    def _record_event(
+        self, kind: Literal["stored", "evicted"], name: str
+    ) -> None:
         event = CacheEvent(seq=self._seq, kind=kind, prefix=name)
         self._events.append(event)
         self._seq += 1
--- a/src/balsamlift/testing/_process.py
+++ b/src/balsamlift/testing/_process.py
@@ -1,4 +1,4 @@
-"""Launch stand-ins and hosts as processes, for tests and scenarios."""
+"""Launch stand-ins and hosts as processes for tests and scenarios."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 StandIn = Literal["engine", "service", "platform", "link"]
 
-READY_S = 60.0  # generous: many processes may start on a busy machine
+READY_S = 60.0  # long, as many processes may start on a busy machine
 WAIT_S = 60.0
 KEPT_LINES = 100_000
 _STDIN_PATH = "/dev/stdin"
 
 
 class ProcessError(BalsamliftError):
-    """Tell that a process ended, or was silent, before it was ready."""
+    """Raised when a process ended or timed out before it was ready."""
 
     def __init__(self, name: str, reason: str, output: str) -> None:
-        """Keep the reason and the output so far."""
+        """Store the reason and the output so far."""
         super().__init__(f"{name}: {reason}\n{output}")
         self.reason = reason
         self.output = output
@@ -38,14 +38,14 @@
 class Process:
     """Run `python -m ARGUMENTS` and keep its output in memory.
 
-    `settings` (anything that encodes as JSON) go to its standard input.
-    As a context manager it ends the process on exit.
+    `settings` are written as JSON to its standard input. As a context
+    manager it kills the process on exit.
     """
 
     def __init__(
         self, arguments: Sequence[str], settings: Any = None, name: str = ""
     ) -> None:
-        """Start the process; `name` stands in messages."""
+        """Start the process; `name` identifies it in error messages."""
         self.name = name or " ".join(arguments)
         self._lines: deque[str] = deque(maxlen=KEPT_LINES)
         self._ready: dict[str, Any] | None = None
@@ -72,18 +72,18 @@
 
     @property
     def running(self) -> bool:
-        """Tell whether the process has not ended."""
+        """Return whether the process has not ended."""
         return self._popen.poll() is None
 
     @property
     def output(self) -> str:
-        """Return all lines of both outputs so far."""
+        """Return the latest lines of standard output and error."""
         with self._changed:
             return "\n".join(self._lines)
 
     @property
     def ready(self) -> dict[str, Any]:
-        """Return the ready line, waiting for it; see `wait_ready`."""
+        """Wait for the ready line and return it; see `wait_ready`."""
         return self.wait_ready()
 
     @property
@@ -92,9 +92,12 @@
         return str(self.ready["address"])
 
     def wait_ready(self, timeout_s: float = READY_S) -> dict[str, Any]:
-        """Wait for the ready line and return it; raises `ProcessError`."""
+        """Wait for the ready line and return it.
+
+        Raises `ProcessError` if the process ends or the time is over first.
+        """
         with self._changed:
-            self._changed.wait_for(self._is_settled, timeout_s)
+            self._changed.wait_for(self._is_ready_or_ended, timeout_s)
         if self._ready is not None:
             return self._ready
         ended = not self._open_outputs
@@ -102,11 +105,11 @@
         raise ProcessError(self.name, reason, self.output)
 
     def terminate(self) -> None:
-        """Ask the process to end (SIGTERM)."""
+        """Send SIGTERM to the process."""
         self._popen.terminate()
 
     def kill(self) -> None:
-        """End the process at once (SIGKILL)."""
+        """Send SIGKILL to the process."""
         self._popen.kill()
 
     def freeze(self) -> None:
@@ -114,13 +117,13 @@
         self._popen.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a paused process go on (SIGCONT)."""
+        """Resume a paused process (SIGCONT)."""
         self._popen.send_signal(signal.SIGCONT)
 
     def wait(self, timeout_s: float = WAIT_S) -> int:
-        """Wait for the end and return the exit code.
+        """Wait for the process to end and return its exit code.
 
-        Raises `subprocess.TimeoutExpired`.
+        Raises `subprocess.TimeoutExpired` if it still runs after the timeout.
         """
         code = self._popen.wait(timeout_s)
         for reader in self._readers:
@@ -143,7 +146,7 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """End the process."""
+        """Kill the process if it still runs."""
         self.close()
 
     def _send(self, settings: Any) -> None:
@@ -154,7 +157,7 @@
                 stdin.write(_encode(settings))
             stdin.close()
         except BrokenPipeError:
-            pass  # it ended already; `wait_ready` tells its output
+            pass  # it has already ended; `wait_ready` reports its output
 
     def _read_in_thread(self, stream: IO[str] | None) -> threading.Thread:
         assert stream is not None
@@ -175,7 +178,7 @@
             self._open_outputs -= 1
             self._changed.notify_all()
 
-    def _is_settled(self) -> bool:
+    def _is_ready_or_ended(self) -> bool:
         return self._ready is not None or not self._open_outputs
 
 
--- a/src/balsamlift/testing/_rates.py
+++ b/src/balsamlift/testing/_rate_limits.py
@@ -1,30 +1,30 @@
-"""The rates that the platform keeps to."""
+"""Rate limits of the platform stand-in."""
 
 from __future__ import annotations
 
 from balsamlift.clock import Clock
 
-_BURST_S = 0.25  # appends saved up while nobody appends
-_WEIGHT_QUEUE = 2  # loads that may wait before 429
+_BURST_S = 0.25  # the bucket holds this many seconds of appends
+_MAX_WAITING_LOADS = 2  # loads that may wait before the answer is 429
 
 
-class AppendBucket:
-    """Limit appends per second; a short burst is allowed."""
+class AppendLimiter:
+    """Limit appends per second with a token bucket."""
 
     def __init__(self, clock: Clock, rate_per_s: float) -> None:
-        """Begin full."""
+        """Start with a full bucket."""
         self._clock = clock
         self._rate_per_s = rate_per_s
         self._capacity = 1 + rate_per_s * _BURST_S
         self._level = self._capacity
-        self._at = clock.monotonic()
+        self._updated_at = clock.monotonic()
 
     def take(self) -> int:
-        """Take one append; return 0, or the ms to come back after."""
+        """Take one token; return 0, or the milliseconds to retry after."""
         now = self._clock.monotonic()
-        gained = (now - self._at) * self._rate_per_s
-        self._level = min(self._capacity, self._level + gained)
-        self._at = now
+        refilled = (now - self._updated_at) * self._rate_per_s
+        self._level = min(self._capacity, self._level + refilled)
+        self._updated_at = now
         if self._level >= 1:
             self._level -= 1
             return 0
@@ -32,25 +32,28 @@
 
 
 class WeightQueue:
-    """Give out one load of weights after the other."""
+    """Serve weight loads one after the other, with a bounded queue."""
 
     def __init__(self, clock: Clock, rate_per_s: float) -> None:
-        """Begin free."""
+        """Start without a load in progress."""
         self._clock = clock
         self._load_s = 1 / rate_per_s
         self._free_at = 0.0
 
     def reserve(self) -> float | None:
-        """Return the seconds that a load takes; none when too many wait."""
+        """Return the seconds until a load is done; none if the queue is full.
+
+        The queue is full if `_MAX_WAITING_LOADS` loads would start before.
+        """
         now = self._clock.monotonic()
         start = max(now, self._free_at)
-        if start - now > _WEIGHT_QUEUE * self._load_s:
+        if start - now > _MAX_WAITING_LOADS * self._load_s:
             return None
         self._free_at = start + self._load_s
         return self._free_at - now
 
     @property
     def retry_after_ms(self) -> int:
-        """Return when a load can be asked for again."""
+        """Return the milliseconds until all queued loads are done."""
         wait_s = self._free_at - self._clock.monotonic()
         return 1 + int(max(0.0, wait_s) * 1_000)
--- a/src/balsamlift/testing/_relay_world.py
+++ b/src/balsamlift/testing/_relay_world.py
@@ -1,4 +1,4 @@
-"""A relay with its neighbours in one process, on 127.0.0.1."""
+"""Relay harness: a relay and its stand-ins in one process on 127.0.0.1."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 def route(kind: str, path: str, service: str, **fields: object) -> Route:
-    """Return a route with the usual bounds."""
+    """Return a route with default limits; `fields` override any field."""
     values: dict[str, object] = {
         "name": path.strip("/"),
         "host": HOST,
@@ -102,7 +102,10 @@
 
 
 def configuration(version: int = 1, **fields: object) -> Configuration:
-    """Return a configuration with a route of each kind."""
+    """Return a configuration with a route of each kind.
+
+    `fields` override any field.
+    """
     values: dict[str, object] = {
         "version": version,
         "routes": (
@@ -122,7 +125,7 @@
 
 
 class StandInList:
-    """List stand-ins as the platform's list would."""
+    """Stand-in for the platform's list of hosts."""
 
     def __init__(self, replicas: Sequence[ReplicaStandIn]) -> None:
         """List `replicas`."""
@@ -130,17 +133,17 @@
         self.is_down = False
 
     async def read(self) -> list[ListEntry] | None:
-        """Return an entry for each."""
+        """Return an entry for each replica."""
         if self.is_down:
             raise HostsUnavailableError("out of reach")
         return [replica.entry() for replica in self.replicas]
 
 
 class StandInEngines:
-    """Copy nothing, and tell what was asked."""
+    """Record requests for reports and copies, without copying anything."""
 
     def __init__(self) -> None:
-        """Begin with room everywhere."""
+        """Start with engines that accept every copy."""
         self.copies: list[tuple[str, str, str, bool]] = []
         self.has_room = True
         self.running: dict[str, list[RunningGeneration]] = {}
@@ -150,7 +153,7 @@
         self.on_stop: list[asyncio.Event] = []
 
     async def report(self, upstream: Upstream) -> EngineReport:
-        """Return what a test says of that engine."""
+        """Return the report that the test has set for the engine."""
         self.asked.append(upstream.name)
         return EngineReport(
             runs=self.running.get(upstream.name, []),
@@ -166,7 +169,7 @@
         *,
         stop: bool,
     ) -> MemoryCopy:
-        """Note the order; with `stop`, let the source end its stream."""
+        """Record the copy; with `stop`, set the events in `on_stop`."""
         self.copies.append((source.name, request_id, target.name, stop))
         if not self.has_room:
             raise CopyRefusedError(source.name, "no room")
@@ -178,7 +181,7 @@
 
 @attrs.frozen
 class CallerAnswer:
-    """Hold an answer as a caller read it."""
+    """Hold an answer as the caller received it."""
 
     status: int
     headers: HTTPHeaders
@@ -187,7 +190,7 @@
 
 
 class RelayWorld:
-    """Hold a relay and the stand-ins that it sends to."""
+    """Run a relay and the replicas that it sends requests to."""
 
     def __init__(
         self,
@@ -197,9 +200,9 @@
         regions: Mapping[str, str] | None = None,
         cold_limits: ColdLimits | None = None,
     ) -> None:
-        """Prepare; use it as an asynchronous context.
+        """Prepare; everything starts on entry of the asynchronous context.
 
-        `regions` holds the region of each failure domain.
+        `regions` maps each failure domain to its region.
         """
         self._regions = regions or {}
         self._cold_limits = cold_limits
@@ -210,7 +213,7 @@
         self.kernel = Kernel()
 
     async def __aenter__(self) -> RelayWorld:
-        """Start everything."""
+        """Start the replicas and the services of the relay."""
         for replica in self.list.replicas:
             await replica.start()
         settings = _settings()
@@ -248,13 +251,13 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Stop everything."""
+        """Stop the services and the replicas."""
         await self.kernel.stop()
         for replica in self.list.replicas:
             await replica.stop()
 
     def configure(self, version: int = 1, **fields: object) -> None:
-        """Bring a configuration into force."""
+        """Apply a configuration; `fields` override its defaults."""
         self.routing.offer(
             configuration(version, **fields), b"%d" % version, "test"
         )
@@ -276,7 +279,7 @@
         headers: Sequence[str] = (),
         key: str = KEY,
     ) -> CallerAnswer:
-        """Make one call on a connection of its own."""
+        """Send one request on a new connection and return its answer."""
         reader, writer = await self.connect()
         writer.write(
             request_bytes(path, request_id, method, body, headers, key)
@@ -295,7 +298,7 @@
     headers: Sequence[str] = (),
     key: str = KEY,
 ) -> bytes:
-    """Return a request as a caller sends it."""
+    """Return the bytes of a request as a caller sends it."""
     lines = [
         f"{method} {path} HTTP/1.1",
         f"Host: {HOST}",
@@ -309,7 +312,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> CallerAnswer:
-    """Read one answer, and tell whether it came whole."""
+    """Read one answer, which may break off before its end."""
     head = await reader.readuntil(b"\r\n\r\n")
     first, _, rest = head.decode("latin-1").partition("\r\n")
     headers = HTTPHeaders.parse(rest)
@@ -325,16 +328,16 @@
 
 
 async def _read_chunks(reader: asyncio.StreamReader) -> bytes:
-    parts = b""
+    body = b""
     while True:
         try:
             size = int(await reader.readuntil(b"\r\n"), 16)
-            part = await reader.readexactly(size + 2)
+            chunk = await reader.readexactly(size + 2)
         except (asyncio.IncompleteReadError, ConnectionError) as error:
-            raise asyncio.IncompleteReadError(parts, None) from error
-        parts += part[:-2]
+            raise asyncio.IncompleteReadError(body, None) from error
+        body += chunk[:-2]
         if size == 0:
-            return parts
+            return body
 
 
 def _settings() -> Settings:
--- a/src/balsamlift/testing/_replica.py
+++ b/src/balsamlift/testing/_replica.py
@@ -1,4 +1,4 @@
-"""A stand-in of an upstream that speaks plain HTTP, and misbehaves."""
+"""Stand-in for an upstream that speaks HTTP and fails as tests require."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class ReplicaRequest:
-    """Hold one request as the replica got it."""
+    """Hold one request as the replica received it."""
 
     method: str
     target: str
@@ -26,7 +26,7 @@
 
 
 class ReplicaConnection:
-    """Answer on one connection."""
+    """Send answers on one connection."""
 
     def __init__(
         self,
@@ -34,20 +34,20 @@
         writer: asyncio.StreamWriter,
         names: HeaderNames,
     ) -> None:
-        """Write to `writer`."""
+        """Wrap the streams of a connection; `names` are its headers."""
         self.reader = reader
         self.writer = writer
         self.names = names
 
     async def send(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send raw bytes."""
         self.writer.write(data)
         await self.writer.drain()
 
     async def head(
         self, request: ReplicaRequest, status: int, *lines: str
     ) -> None:
-        """Send the head of an answer to `request`."""
+        """Send the status line and the headers of an answer."""
         request_id = request.headers.get(self.names.request_id, "")
         head = [f"HTTP/1.1 {status} Told", *lines]
         head.append(f"{self.names.request_id}: {request_id}")
@@ -57,17 +57,17 @@
     async def answer(
         self, request: ReplicaRequest, body: bytes, status: int = 200
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         await self.head(request, status, f"Content-Length: {len(body)}")
         await self.send(body)
 
     async def refuse(self, request: ReplicaRequest) -> None:
-        """Say that the request did not run."""
+        """Answer that the request was not executed."""
         line = f"{self.names.not_executed}: 1"
         await self.head(request, 503, line, "Content-Length: 0")
 
     async def begin_stream(self, request: ReplicaRequest) -> None:
-        """Begin a stream of events."""
+        """Send the head of a stream of events."""
         await self.head(
             request,
             200,
@@ -76,21 +76,21 @@
         )
 
     async def chunk(self, data: bytes) -> None:
-        """Send one chunk of a body."""
+        """Send one chunk of a chunked body."""
         await self.send(b"%x\r\n%b\r\n" % (len(data), data))
 
     async def events(self, first: int, last: int, gap_s: float = 0) -> None:
-        """Send events with these ids, both included."""
+        """Send the events with the ids from `first` to `last`."""
         for number in range(first, last + 1):
             await self.chunk(event(number))
             await asyncio.sleep(gap_s)
 
     async def end_stream(self) -> None:
-        """End a stream as whole."""
+        """Send the last chunk, which completes the stream."""
         await self.send(b"0\r\n\r\n")
 
     def reset(self) -> None:
-        """Drop the connection at once."""
+        """Abort the connection."""
         self.writer.transport.abort()
 
 
@@ -98,7 +98,7 @@
 
 
 def event(number: int) -> bytes:
-    """Return the event of that number."""
+    """Return the event with the id `number`."""
     return b"id: %d\ndata: token-%d\n\n" % (number, number)
 
 
@@ -110,10 +110,11 @@
 
 
 class ReplicaStandIn:
-    """Serve on a port of 127.0.0.1, and keep what arrived.
+    """Serve on a port of 127.0.0.1 and record the requests.
 
-    `behave` may be changed at any time. A request that expects another
-    incarnation is turned away, as the platform's upstreams do.
+    `behave` answers each request and may be replaced at any time. A request
+    that expects another incarnation is refused with status 421, as the
+    platform's upstreams do.
     """
 
     def __init__(
@@ -124,7 +125,7 @@
         behave: Behave = answer_ok,
         failure_domain: str = "north",
     ) -> None:
-        """Prepare; `start` listens."""
+        """Prepare; `start` begins to listen."""
         self.name = name
         self.pool = pool
         self.names = names
@@ -134,14 +135,14 @@
         self.connections = 0
         self.address = ""  # "IP:port", once it listens
         self.state = "live"
-        self.started_ms = 0  # as the list tells it
+        self.started_ms = 0  # as its entry in the list gives it
         self.cold_ms = 0.0
-        self.written = 0  # raise it with each change of `cold_ms`
+        self.written = 0  # to be increased with each change of `cold_ms`
         self.open: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1")
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
@@ -156,7 +157,7 @@
             await asyncio.wait(self.open)
 
     def crash(self) -> None:
-        """Close the port and cancel every connection but the calling one."""
+        """Close the port and cancel every connection but the current one."""
         assert self._server is not None
         self._server.close()
         current = asyncio.current_task()
@@ -194,14 +195,14 @@
         assert task is not None
         self.open.add(task)
         connection = ReplicaConnection(reader, writer, self.names)
-        # The caller may close at any time, which is what tests look at.
+        # Tests check what happens when the peer closes at any time.
         with suppress(ConnectionError, asyncio.CancelledError):
-            await self._keep_answering(connection)
+            await self._answer_requests(connection)
         writer.close()
         self.open.discard(task)
 
-    async def _keep_answering(self, connection: ReplicaConnection) -> None:
-        while (request := await _read(connection.reader)) is not None:
+    async def _answer_requests(self, connection: ReplicaConnection) -> None:
+        while (request := await _read_request(connection.reader)) is not None:
             expected = request.headers.get(self.names.expected_incarnation)
             if expected != self.name:
                 await connection.head(request, 421, "Content-Length: 0")
@@ -210,7 +211,7 @@
             await self.behave(connection, request)
 
 
-async def _read(reader: asyncio.StreamReader) -> ReplicaRequest | None:
+async def _read_request(reader: asyncio.StreamReader) -> ReplicaRequest | None:
     try:
         head = await reader.readuntil(_LINE_END * 2)
     except asyncio.IncompleteReadError:
--- a/src/balsamlift/testing/_service.py
+++ b/src/balsamlift/testing/_service.py
@@ -1,4 +1,4 @@
-"""The stand-in of a plain service, such as a tracker or a till."""
+"""Stand-in for a plain service, such as a tracker or a point of sale."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceFaults:
-    """Choose what goes wrong at a service."""
+    """Hold the faults of a service, as set by `POST /control/faults`."""
 
-    slow_ms: int = 0  # the work takes that much longer
-    # Calls run and then get no answer, or 500.
+    slow_ms: int = 0  # added to the duration of each call
+    # Calls run, but are then not answered, or with 500.
     lose_answers: str = attrs.field(
         default="no", validator=one_of("no", "silent", "500")
     )
@@ -42,7 +42,7 @@
 
 @attrs.frozen(kw_only=True)
 class Call:
-    """Hold the body of a call."""
+    """Hold the body of `POST /v1/calls`."""
 
     key: str
     workspace: str = ""
@@ -53,7 +53,7 @@
 
 @attrs.frozen(kw_only=True)
 class KeyState:
-    """Tell what became of a key."""
+    """Answer `GET /v1/keys/KEY`; `state` is running, done or absent."""
 
     state: str
     workspace: str = ""
@@ -88,10 +88,10 @@
 
     async def start(self) -> None:
         """Accept connections and report to the platform."""
-        mine = {"service": self}
+        arguments = {"service": self}
         routes: Routes = [
-            (r"/v1/calls", CallsHandler, mine),
-            (r"/v1/keys/([^/]+)", KeyHandler, mine),
+            (r"/v1/calls", CallsHandler, arguments),
+            (r"/v1/keys/([^/]+)", KeyHandler, arguments),
         ]
         self._listener.start(routes + control_routes(self.control, self.count))
         self.control.on_change(self._apply)
@@ -110,7 +110,7 @@
         }
 
     def count(self) -> dict[str, Any]:
-        """Return what was counted."""
+        """Return the counters for `GET /control/counts`."""
         return {"executions": self.executions, "running": self.running}
 
     async def run(self, call: Call) -> Any:
@@ -135,7 +135,7 @@
 
 
 def _result(call: Call) -> dict[str, Any]:
-    """Return a result that only this call can have."""
+    """Return a result that identifies the call and its payload."""
     payload = msgspec.json.encode(call.payload, order="sorted")
     digest = hashlib.sha256(payload).hexdigest()
     return {
@@ -147,22 +147,22 @@
 
 
 class ServiceHandler(JsonHandler):
-    """Know the service."""
+    """Give handlers access to the service."""
 
     def initialize(self, service: PlainService) -> None:
-        """Keep the service."""
+        """Store the service that this handler serves."""
         self._service = service
 
 
 class CallsHandler(ServiceHandler):
-    """Execute calls."""
+    """Handle `POST /v1/calls`."""
 
     async def post(self) -> None:
-        """Execute the call of the body."""
+        """Execute the call in the body, unless it is refused."""
         call = self.read(Call)
         if call is None:
             return
-        if self._keep_out():
+        if self._refuse_if_unavailable():
             return
         result = await self._run(call)
         lose = self._service.faults.lose_answers
@@ -173,8 +173,8 @@
             return
         self.reply({"result": result})
 
-    def _keep_out(self) -> bool:
-        """Answer a call that does not run."""
+    def _refuse_if_unavailable(self) -> bool:
+        """Refuse the call if the service is full, refusing or draining."""
         service = self._service
         faults = service.faults
         full = service.running >= service.settings.max_running
@@ -195,10 +195,10 @@
 
 
 class KeyHandler(ServiceHandler):
-    """Tell what became of a key."""
+    """Handle `GET /v1/keys/KEY`."""
 
     def get(self, key: str) -> None:
-        """Return the state of the key, if the service tells it."""
+        """Return the state of the key, if the service exposes key states."""
         if not self._service.settings.tells_by_key:
             self.refuse(404, "not_told")
             return
--- a/src/balsamlift/testing/_settings.py
+++ b/src/balsamlift/testing/_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the stand-ins."""
+"""Settings of the stand-ins."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class EngineSettings:
-    """Set up one engine; an empty platform address means none."""
+    """Configure one engine; an empty platform address means none."""
 
     name: str = "engine-1"
     address: str = attrs.field(default=ANY_PORT, validator=ip_and_port)
@@ -44,19 +44,19 @@
     load_lag_ms: int = 500
     cache_lag_ms: int = 500
     cache_gap_ratio: float = attrs.field(default=0.05, validator=between(0, 1))
-    model_load_ms: int = 500  # the part after the weights have come
+    model_load_ms: int = 500  # after the weights have been fetched
     parameters: EngineParameters = attrs.field(factory=EngineParameters)
     lengths: dict[str, LengthSettings] = attrs.field(factory=_default_lengths)
     tokens_per_frame: int = attrs.field(
         default=1, validator=between(1, 10_000)
     )
-    flush_ms: int = 50  # an incomplete frame waits no longer
+    flush_ms: int = 50  # an incomplete frame is sent after this time
     retention_ms: int = 60_000
 
 
 @attrs.frozen(kw_only=True)
 class ServiceSettings:
-    """Set up one plain service."""
+    """Configure one plain service."""
 
     name: str = "service-1"
     address: str = attrs.field(default=ANY_PORT, validator=ip_and_port)
@@ -71,20 +71,20 @@
 
 @attrs.frozen(kw_only=True)
 class PlatformSettings:
-    """Set up the platform: log, list of hosts and weight store."""
+    """Configure the platform: log, list of hosts and weight store."""
 
     name: str = "platform"
     address: str = attrs.field(default=ANY_PORT, validator=ip_and_port)
     log_retention_ms: int = 600_000
     log_retention_records: int = 100_000
-    log_appends_per_s: float = 300.0  # the brief: several hundred
+    log_appends_per_s: float = 300.0  # the platform allows several hundred
     hosts_lag_ms: int = 1_000
     weight_loads_per_s: float = 1.0
 
 
 @attrs.frozen(kw_only=True)
 class LinkSettings:
-    """Set up one relayed link between two addresses."""
+    """Configure one link, which relays from an address to a target."""
 
     name: str = "link-1"
     address: str = attrs.field(default=ANY_PORT, validator=ip_and_port)
--- a/src/balsamlift/testing/_stand_in.py
+++ b/src/balsamlift/testing/_stand_in.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: an HTTP listener, faults, registration."""
+"""Parts that all stand-ins share: HTTP listener, faults, registration."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 
 
 class StandIn(Protocol):
-    """Run one stand-in between `start` and `stop`."""
+    """Define the interface of a stand-in that runs as a process."""
 
     async def start(self) -> None:
         """Accept connections."""
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the listeners and all connections."""
 
     def ready(self) -> dict[str, Any]:
         """Return the fields of the ready line."""
 
 
 class JsonHandler(RequestHandler):
-    """Read and answer JSON."""
+    """Read requests and write answers in JSON."""
 
     def reply(self, body: Any, status: int = 200) -> None:
         """Send `body` as JSON."""
@@ -49,32 +49,32 @@
         self.finish(msgspec.json.encode(body))
 
     def refuse(self, status: int, reason: str, **detail: Any) -> None:
-        """Send a reason as JSON, and `Retry-After` where one is given."""
+        """Send a reason as JSON, with `Retry-After` if a delay is given."""
         retry_after_ms = detail.get("retry_after_ms")
         if retry_after_ms is not None:
             seconds = -(-int(retry_after_ms) // 1_000)
             self.set_header("Retry-After", str(seconds))
         self.reply({"reason": reason, **detail}, status)
 
-    def read(self, kind: type[T]) -> T | None:
-        """Return the body as a `kind`; when it is none, answer 400."""
+    def read(self, body_type: type[T]) -> T | None:
+        """Return the body as a `body_type`; if it is invalid, answer 400."""
         try:
-            return msgspec.json.decode(self.request.body, type=kind)
+            return msgspec.json.decode(self.request.body, type=body_type)
         except msgspec.DecodeError as error:
             self.refuse(400, "bad_request", detail=str(error))
             return None
 
-    def number(self, name: str, default: int) -> int:
-        """Return a whole number of the query, or `default`."""
+    def query_int(self, name: str, default: int) -> int:
+        """Return a non-negative integer of the query, or `default`."""
         text = self.get_query_argument(name, "")
         return int(text) if text.isdecimal() else default
 
 
 class Listener:
-    """Listen on one address from construction on."""
+    """Listen on one address, which is bound at construction."""
 
     def __init__(self, address: str) -> None:
-        """Bind `address`, "IP:port"; port 0 picks a free one."""
+        """Bind `address`, given as "IP:port"; port 0 picks a free port."""
         ip, port = split_address(address)
         self._sockets = bind_sockets(port, ip)
         self.address = join_address(ip, self._sockets[0].getsockname()[1])
@@ -82,26 +82,26 @@
 
     def start(self, routes: Routes) -> None:
         """Serve `routes`."""
-        application = Application(list(routes), log_function=_log_nothing)
+        application = Application(list(routes), log_function=_ignore_log)
         self._server = HTTPServer(application)
         self._server.add_sockets(self._sockets)
 
     async def stop(self) -> None:
-        """Close the address and its connections."""
+        """Close the listening sockets and all connections."""
         if self._server is not None:
             self._server.stop()
             await self._server.close_all_connections()
 
 
-def _log_nothing(handler: RequestHandler) -> None:
+def _ignore_log(handler: RequestHandler) -> None:
     del handler
 
 
 class Control(Generic[T]):
-    """Hold the faults in force and change them in part."""
+    """Hold the faults in force and apply changes to some of them."""
 
     def __init__(self, faults: T) -> None:
-        """Begin with `faults`, an attrs class."""
+        """Start with `faults`, an instance of an attrs class."""
         self.faults = faults
         self._callbacks: list[Callable[[T, T], None]] = []
 
@@ -110,7 +110,10 @@
         self._callbacks.append(callback)
 
     def update(self, changes: dict[str, Any]) -> None:
-        """Change some fields; raises `SettingsError`."""
+        """Change some fields.
+
+        Raises `SettingsError` if a field is unknown or a value invalid.
+        """
         old: Any = self.faults
         merged = {**attrs.asdict(old), **changes}
         new: T = structure(merged, type(old), "faults")
@@ -120,18 +123,18 @@
 
 
 class FaultsHandler(JsonHandler):
-    """Take `POST /control/faults` and tell the faults in force."""
+    """Handle `GET` and `POST /control/faults`."""
 
     def initialize(self, control: Control[Any]) -> None:
-        """Keep the control."""
+        """Store the control whose faults are read and changed."""
         self._control = control
 
     def get(self) -> None:
-        """Tell the faults in force."""
+        """Return the faults in force."""
         self.reply(self._control.faults)
 
     def post(self) -> None:
-        """Change some faults."""
+        """Change the faults that the body names; return all of them."""
         changes = self.read(dict[str, Any])
         if changes is None:
             return
@@ -144,14 +147,14 @@
 
 
 class CountsHandler(JsonHandler):
-    """Tell what `count` returns."""
+    """Handle `GET /control/counts`."""
 
     def initialize(self, count: Callable[[], Any]) -> None:
-        """Keep the function that makes the counts."""
+        """Store the function that returns the counts."""
         self._count = count
 
     def get(self) -> None:
-        """Tell the counts."""
+        """Return the counts."""
         self.reply(self._count())
 
 
@@ -182,10 +185,10 @@
 
 
 class Registration:
-    """Keep the platform told of one entry of its list of hosts."""
+    """Maintain one entry in the platform's list of hosts."""
 
     def __init__(self, platform_address: str, entry: HostEntry) -> None:
-        """Say nothing yet; an empty address means never."""
+        """Prepare; with an empty address, nothing is ever registered."""
         self._url = f"http://{platform_address}/v1/hosts/{entry.name}"
         self._enabled = bool(platform_address)
         self._entry = entry
@@ -193,7 +196,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def announce(self, state: str) -> None:
-        """Report `state` in the background until the platform has it."""
+        """Report `state` in the background until the platform accepts it."""
         if not self._enabled:
             return
         self._entry = attrs.evolve(self._entry, state=state)
@@ -201,7 +204,7 @@
             self._task = asyncio.create_task(self._report())
 
     async def withdraw(self) -> None:
-        """Remove the entry, if the platform can be reached."""
+        """Remove the entry if the platform is reachable."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(CallError):
--- a/src/balsamlift/testing/_tokens.py
+++ b/src/balsamlift/testing/_tokens.py
@@ -1,4 +1,4 @@
-"""Token texts and output lengths, drawn from seeds."""
+"""Token texts and output lengths, derived from seeds."""
 
 from __future__ import annotations
 
@@ -32,5 +32,5 @@
 
 
 def count_tokens(prompt: str) -> int:
-    """Estimate the tokens of a prompt: four characters each."""
+    """Estimate the tokens of a prompt at four characters per token."""
     return 1 + len(prompt) // 4
--- a/src/balsamlift/testing/platform.py
+++ b/src/balsamlift/testing/platform.py
@@ -1,4 +1,4 @@
-"""The users' platform as stand-ins, for tests of the adapter."""
+"""Stand-ins for the platform, for tests of the platform adapter."""
 
 from balsamlift.testing._keyed_store import Fault, KeyedStore, Topic
 
--- a/src/balsamlift/testing/relay.py
+++ b/src/balsamlift/testing/relay.py
@@ -1,4 +1,4 @@
-"""A relay among stand-ins, for tests of what callers and upstreams see."""
+"""Relay harness with stand-ins, for tests of the relay's HTTP behaviour."""
 
 from balsamlift.testing._relay_world import (
     HOST,
--- a/tests/_listed_engines.py
+++ b/tests/_listed_engines.py
@@ -1,4 +1,4 @@
-"""A stand-in for `Upstreams` with live engines of one pool."""
+"""Test double for `Upstreams` with live engines of one pool."""
 
 from collections.abc import Callable
 
@@ -10,10 +10,13 @@
 
 
 class ListedEngines:
-    """Upstreams of one pool that are all live and not evacuated."""
+    """List upstreams of one pool that are all live and not evacuated."""
 
     def __init__(self, domains: dict[str, str]) -> None:
-        """Map the name of each engine to its failure domain."""
+        """List one engine per entry of `domains`.
+
+        `domains` maps the name of each engine to its failure domain.
+        """
         self._upstreams = [
             Upstream(
                 name=name,
--- a/tests/_virtual_time.py
+++ b/tests/_virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes at once when all of its tasks wait."""
+"""Event loop that advances its time at once when all tasks wait."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class _SkippingSelector(selectors.SelectSelector):
-    """Skip what would be waited for; only timers matter to such a test."""
+    """Count the time to the next timer as passed instead of waiting.
+
+    I/O is polled but never waited for, so tests may depend on timers only.
+    """
 
     skipped_s = 0.0
 
@@ -32,7 +35,7 @@
 
 
 class LoopClock:
-    """The clock of the running loop."""
+    """Clock that returns the time of the running loop."""
 
     def now(self) -> datetime:
         return datetime(2026, 1, 1, tzinfo=UTC) + timedelta(
@@ -47,7 +50,7 @@
 
 
 def run_virtual(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test in which no real time passes."""
+    """Run a test without waiting for real time to pass."""
 
     async def main() -> None:
         await test()
--- a/tests/test_testing_engine.py
+++ b/tests/test_testing_engine.py
@@ -1,4 +1,4 @@
-"""The engine and the plain service as processes."""
+"""Tests of the engine and plain service stand-ins, run as processes."""
 
 import pytest
 from _stand_in_calls import Stream, call, eventually, tokens_of
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def start():
-    """Start stand-ins and end them after the test."""
+    """Return a function that starts stand-ins, closed after the test."""
     started = []
 
     def start_one(kind="engine", **settings):
@@ -33,12 +33,12 @@
     return call(address, "GET", "/control/counts")[1]
 
 
-def faults(address, **changes):
+def set_faults(address, **changes):
     status, found = call(address, "POST", "/control/faults", changes)
     assert status == 200, found
 
 
-def test_a_stream_is_whole_and_can_be_read_again_from_an_index(start):
+def test_stream_is_complete_and_can_be_resumed_from_an_index(start):
     address = start(tokens_per_frame=4)
     events = generate(address, workspace="w").rest()
     assert events[0][0] == "start"
@@ -51,9 +51,11 @@
         {"generation": generation, "tokens": 20, "reason": "stop"},
     )
     path = f"/v1/generations/{generation}?from=7"
-    again = Stream(address, "GET", path).rest()
-    assert again[1][1]["index"] == 7
-    resumed = [t for e, d in again if e == "token" for t in d["tokens"]]
+    resumed_events = Stream(address, "GET", path).rest()
+    assert resumed_events[1][1]["index"] == 7
+    resumed = [
+        t for e, d in resumed_events if e == "token" for t in d["tokens"]
+    ]
     assert resumed == tokens[7:]
     assert counts(address)["executions"] == {"k": 1}
     state = call(address, "GET", "/v1/keys/k")[1]
@@ -62,7 +64,7 @@
     assert call(address, "GET", "/v1/generations/x")[0] == 404
 
 
-def test_the_bound_on_tokens_ends_with_length(start):
+def test_max_tokens_ends_a_generation_with_reason_length(start):
     events = generate(start(), length=500, max_tokens=5).rest()
     assert events[-1][1]["reason"] == "length"
     assert len(tokens_of(events)) == 5
@@ -81,7 +83,7 @@
     assert (texts[0] == texts[1]) is deterministic
 
 
-def test_a_lost_reader_changes_nothing_and_cancel_ends(start):
+def test_generation_outlives_its_reader_and_ends_when_cancelled(start):
     address = start()
     stream = generate(address, length=100_000, prompt_tokens=10)
     generation = stream.next()[1]["generation"]
@@ -94,22 +96,26 @@
     assert call(address, "DELETE", path) == (200, {"cancelled": False})
 
 
-def test_silence_stops_open_streams_and_not_new_ones(start):
+def test_silent_fault_affects_open_streams_but_not_new_ones(start):
     address = start()
     stream = generate(address, length=50_000)
     generation = stream.next()[1]["generation"]
-    faults(address, silent=True)
+    set_faults(address, silent=True)
     path = f"/v1/generations/{generation}?from=0"
-    fresh = Stream(address, "GET", path)
-    assert [fresh.next()[0] for _ in range(3)] == ["start", "token", "token"]
+    new_stream = Stream(address, "GET", path)
+    assert [new_stream.next()[0] for _ in range(3)] == [
+        "start",
+        "token",
+        "token",
+    ]
     stream.connection.sock.settimeout(0.5)
     with pytest.raises(TimeoutError):
         stream.rest()
 
 
-def test_a_dropped_answer_runs(start):
+def test_request_with_a_dropped_answer_runs(start):
     address = start()
-    faults(address, drop_answers=True)
+    set_faults(address, drop_answers=True)
     body = {"key": "k", "prompt": "[length=5]"}
     with pytest.raises(TimeoutError):
         Stream(address, "POST", "/v1/generations", body, timeout_s=0.5)
@@ -120,9 +126,9 @@
     ("fault", "reason"),
     [({"refuse": True}, "full"), ({"draining": True}, "draining")],
 )
-def test_what_is_kept_out_did_not_run(start, fault, reason):
+def test_refused_request_does_not_run(start, fault, reason):
     address = start()
-    faults(address, **fault)
+    set_faults(address, **fault)
     body = {"key": "k", "prompt": "p"}
     status, found = call(address, "POST", "/v1/generations", body)
     assert status == 503
@@ -130,7 +136,7 @@
     assert counts(address)["executions"] == {}
 
 
-def test_an_engine_refuses_work_for_a_model_that_it_does_not_run(start):
+def test_engine_refuses_requests_for_a_model_that_is_not_loaded(start):
     address = start(model="writer", version="1")
     body = {"key": "k", "prompt": "p", "model": "other"}
     status, found = call(address, "POST", "/v1/generations", body)
@@ -141,16 +147,16 @@
     assert len(tokens_of(stream.rest())) == 20
 
 
-def test_duplicate_frames(start):
+def test_duplicate_frames_repeat_frames_but_not_tokens(start):
     address = start()
-    faults(address, duplicate_frames=True)
+    set_faults(address, duplicate_frames=True)
     events = generate(address, length=9).rest()
     indexes = [data["index"] for event, data in events if event == "token"]
     assert len(indexes) > len(set(indexes))
     assert len(tokens_of(events)) == 9
 
 
-def test_reclaim_marks_leaving_and_ends_streams(start):
+def test_reclaim_registers_as_leaving_and_ends_streams(start):
     platform = start("platform", hosts_lag_ms=0)
     address = start(platform_address=platform, name="e1")
 
@@ -161,21 +167,23 @@
     eventually(lambda: state() == [("e1", "live")])
     stream = generate(address, length=50_000)
     stream.next()
-    faults(address, reclaim_in_ms=300)
+    set_faults(address, reclaim_in_ms=300)
     eventually(lambda: state() == [("e1", "leaving")])
     assert stream.rest()[-1][1]["reason"] == "reclaimed"
 
 
-def test_death_after_a_number_of_tokens():
+def test_process_exits_after_a_number_of_tokens():
     with start_stand_in("engine", {"parameters": FAST}) as process:
-        faults(process.address, die_after_tokens=5)
+        set_faults(process.address, die_after_tokens=5)
         stream = generate(process.address, length=100)
         assert len(tokens_of(stream.rest())) == 5
         assert process.wait() == 1
 
 
 @pytest.mark.parametrize("checks_fence", [True, False])
-def test_orders_and_the_fence(start, checks_fence):
+def test_order_with_a_stale_fence_is_refused_only_if_checked(
+    start, checks_fence
+):
     platform = start("platform", weight_loads_per_s=20)
     address = start(checks_fence=checks_fence, platform_address=platform)
     newer = {"fence": 7, "model": "model-b", "version": "2"}
@@ -200,7 +208,7 @@
     assert loads["model-b/2"] == 1
 
 
-def test_load_and_cache_are_reported_late(start):
+def test_load_and_cache_events_are_reported_with_a_lag(start):
     address = start(load_lag_ms=600, cache_lag_ms=600)
     stream = generate(
         address, length=50_000, prefix="policy", prompt_tokens=600
@@ -216,7 +224,7 @@
 
 
 @pytest.mark.parametrize("deduplicates", [True, False])
-def test_a_service_counts_what_runs_twice(start, deduplicates):
+def test_service_counts_executions_per_key(start, deduplicates):
     address = start("service", deduplicates=deduplicates)
     body = {"key": "k", "workspace": "w", "kind": "refund", "payload": {}}
     first = call(address, "POST", "/v1/calls", body)
@@ -226,12 +234,12 @@
     assert call(address, "GET", "/v1/keys/k")[1]["state"] == "done"
 
 
-def test_a_service_that_loses_answers_has_run_and_refusals_have_not(start):
+def test_service_runs_calls_with_lost_answers_but_not_refused_calls(start):
     address = start("service")
-    faults(address, lose_answers="500")
+    set_faults(address, lose_answers="500")
     body = {"key": "lost", "payload": 1}
     assert call(address, "POST", "/v1/calls", body)[0] == 500
-    faults(address, refuse=True)
+    set_faults(address, refuse=True)
     status, found = call(address, "POST", "/v1/calls", {"key": "kept out"})
     assert (status, found["ran"]) == (503, False)
     assert counts(address)["executions"] == {"lost": 1}
--- a/tests/test_testing_engine_model.py
+++ b/tests/test_testing_engine_model.py
@@ -1,4 +1,4 @@
-"""The engine model: batching, memory, preemption, prefixes, priority."""
+"""Tests of the engine model: batching, memory, preemption, prefix cache."""
 
 import random
 
@@ -8,13 +8,13 @@
 
 
 def run(model, steps=100_000):
-    """Step until idle; return tokens per key, finish order, all steps."""
-    tokens, finished, made = {}, [], []
+    """Step until idle; return tokens per key, finish order and all steps."""
+    tokens, finished, all_steps = {}, [], []
     for _ in range(steps):
         if model.idle:
-            return tokens, finished, made
+            return tokens, finished, all_steps
         step = model.step()
-        made.append(step)
+        all_steps.append(step)
         for key in step.token_keys:
             tokens[key] = tokens.get(key, 0) + 1
         finished += step.finished_keys
@@ -31,7 +31,7 @@
     )
 
 
-def test_step_grows_with_the_batch_and_with_prefill():
+def test_step_duration_grows_with_batch_size_and_prefill():
     small, large = (EngineModel(EngineParameters()) for _ in range(2))
     small.submit(work("a"))
     for index in range(20):
@@ -44,31 +44,37 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_crowding_preempts_and_still_gives_each_its_tokens(seed):
-    draw = random.Random(seed)
+def test_all_sequences_finish_despite_preemption(seed):
+    random_source = random.Random(seed)
     parameters = EngineParameters(
         memory_tokens=1_024, prefix_tokens=64, queue_limit=100
     )
     model = EngineModel(parameters)
-    wanted = {}
+    output_lengths = {}
     for index in range(60):
         key = f"k{index}"
-        wanted[key] = draw.randint(1, 400)
-        prefix = draw.choice(["", "p", "q"])
-        prompt = draw.randint(1, 200)
+        output_lengths[key] = random_source.randint(1, 400)
+        prefix = random_source.choice(["", "p", "q"])
+        prompt = random_source.randint(1, 200)
         assert model.submit(
-            work(key, prompt, wanted[key], prefix, draw.randint(0, 2))
+            work(
+                key,
+                prompt,
+                output_lengths[key],
+                prefix,
+                random_source.randint(0, 2),
+            )
         )
-    tokens, finished, made = run(model)
-    assert tokens == wanted
-    assert sorted(finished) == sorted(wanted)
-    preempted = [key for step in made for key in step.preempted_keys]
+    tokens, finished, all_steps = run(model)
+    assert tokens == output_lengths
+    assert sorted(finished) == sorted(output_lengths)
+    preempted = [key for step in all_steps for key in step.preempted_keys]
     assert len(preempted) == model.load().preemptions > 0
-    held = len(model.cached_prefixes()) * parameters.prefix_tokens
-    assert model.load().memory_used == held
+    cached_tokens = len(model.cached_prefixes()) * parameters.prefix_tokens
+    assert model.load().memory_used == cached_tokens
 
 
-def test_memory_is_never_exceeded():
+def test_memory_limit_is_never_exceeded():
     model = EngineModel(EngineParameters(memory_tokens=512))
     for index in range(30):
         model.submit(work(str(index), 30, 200))
@@ -78,19 +84,19 @@
         assert load.memory_used <= load.memory_total
 
 
-def test_the_newest_of_the_lowest_priority_is_preempted():
+def test_newest_sequence_of_the_lowest_priority_is_preempted():
     model = EngineModel(EngineParameters(memory_tokens=256))
     model.submit(work("old", 16, 150, priority=0))
     model.submit(work("new", 16, 150, priority=0))
     model.submit(work("urgent", 16, 150, priority=1))
-    _, finished, made = run(model)
-    preempted = [key for step in made for key in step.preempted_keys]
+    _, finished, all_steps = run(model)
+    preempted = [key for step in all_steps for key in step.preempted_keys]
     assert preempted[0] == "new"
     assert "urgent" not in preempted
     assert finished[0] == "urgent"
 
 
-def test_the_queue_goes_by_priority_and_is_bounded():
+def test_queue_is_ordered_by_priority_and_bounded():
     parameters = EngineParameters(max_running=1, queue_limit=3)
     model = EngineModel(parameters)
     model.submit(work("first"))
@@ -102,7 +108,7 @@
     assert run(model)[1] == ["first", "high", "low", "low2"]
 
 
-def test_a_cached_prefix_shortens_the_prefill():
+def test_cached_prefix_shortens_the_prefill():
     model = EngineModel(EngineParameters())
     model.submit(work("a", 2_000, 1, prefix="policy"))
     cold = sum(step.duration_ms for step in run(model)[2])
@@ -112,7 +118,7 @@
     assert [e.kind for e in model.take_events()] == ["stored"]
 
 
-def test_the_least_recently_used_prefix_is_evicted():
+def test_least_recently_used_prefix_is_evicted():
     parameters = EngineParameters(memory_tokens=256, prefix_tokens=64)
     model = EngineModel(parameters)
     for name in ("p", "q", "r", "p"):
@@ -125,7 +131,7 @@
     assert "p" in model.cached_prefixes()
 
 
-def test_cancel_frees_memory_wherever_the_work_is():
+def test_cancel_frees_memory_of_running_and_waiting_work():
     model = EngineModel(EngineParameters(max_running=1))
     model.submit(work("runs"))
     model.submit(work("waits"))
@@ -138,7 +144,7 @@
     assert (load.running, load.queued, load.memory_used) == (0, 0, 0)
 
 
-def test_an_output_beyond_memory_is_cut():
+def test_output_beyond_memory_is_cut_to_the_output_limit():
     model = EngineModel(EngineParameters(memory_tokens=256))
     assert not model.submit(work("wide", 250))
     assert model.submit(work("long", 100, 10_000))
--- a/tests/test_testing_link.py
+++ b/tests/test_testing_link.py
@@ -1,4 +1,4 @@
-"""The link as a process, in front of a socket of the test."""
+"""Tests of the link stand-in, run as a process before an echo server."""
 
 import socket
 import threading
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def echo():
-    """Return the address of a server that sends back what it gets."""
+    """Return the address of a server that sends back all that it receives."""
     server = socket.create_server(("127.0.0.1", 0))
 
     def serve():
@@ -50,7 +50,7 @@
     return found
 
 
-def faults(link, **changes):
+def set_faults(link, **changes):
     control = link.ready["control_address"]
     assert call(control, "POST", "/control/faults", changes)[0] == 200
 
@@ -67,53 +67,53 @@
     return connection.recv(100) == text
 
 
-def test_bytes_pass_and_an_end_passes_too(link):
+def test_link_relays_bytes_and_end_of_stream(link):
     connection = connect(link)
     assert echoes(connection, b"one")
     connection.shutdown(socket.SHUT_WR)
     assert connection.recv(100) == b""
 
 
-def test_a_cut_closes_and_refuses_until_healed(link):
+def test_cut_closes_and_refuses_connections_until_cleared(link):
     connection = connect(link)
     assert echoes(connection, b"one")
-    faults(link, cut=True)
+    set_faults(link, cut=True)
     assert is_closed(connection)
     with pytest.raises(ConnectionRefusedError):
         connect(link)
-    faults(link, cut=False)
+    set_faults(link, cut=False)
     assert eventually(lambda: echoes(connect(link), b"two"))
 
 
-@pytest.mark.parametrize("way", ["stall_forward", "stall_backward"])
-def test_stalled_bytes_arrive_after_the_stall(link, way):
+@pytest.mark.parametrize("fault", ["stall_forward", "stall_backward"])
+def test_stalled_bytes_arrive_after_the_stall(link, fault):
     connection = connect(link)
     assert echoes(connection, b"one")
-    faults(link, **{way: True})
+    set_faults(link, **{fault: True})
     connection.sendall(b"two")
     connection.settimeout(0.3)
     with pytest.raises(TimeoutError):
         connection.recv(100)
-    faults(link, **{way: False})
+    set_faults(link, **{fault: False})
     connection.settimeout(BOUND_S)
     assert connection.recv(100) == b"two"
 
 
-def test_open_connections_stay_silent_while_new_ones_work(link):
+def test_silenced_connections_stay_silent_while_new_ones_work(link):
     connection = connect(link)
     assert echoes(connection, b"one")
-    faults(link, silence_existing=True)
-    fresh = connect(link)
-    assert echoes(fresh, b"two")
-    faults(link, delay_ms=1)
-    assert echoes(fresh, b"three")
+    set_faults(link, silence_existing=True)
+    new_connection = connect(link)
+    assert echoes(new_connection, b"two")
+    set_faults(link, delay_ms=1)
+    assert echoes(new_connection, b"three")
     connection.sendall(b"lost")
     connection.settimeout(0.3)
     with pytest.raises(TimeoutError):
         connection.recv(100)
 
 
-def test_a_missing_target_closes_the_connection():
+def test_unreachable_target_closes_the_connection():
     settings = {"target_address": "127.0.0.1:1"}
     with start_stand_in("link", settings) as process:
         assert is_closed(connect(process))
--- a/tests/test_testing_platform.py
+++ b/tests/test_testing_platform.py
@@ -1,4 +1,4 @@
-"""The platform as a process: log, list of hosts, weight store."""
+"""Tests of the platform stand-in, run as a process."""
 
 import http.client
 import json
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def start():
-    """Start a platform and end it after the test."""
+    """Return a function that starts platforms, closed after the test."""
     started = []
 
     def start_one(**settings):
@@ -36,7 +36,7 @@
     return call(address, "GET", path)
 
 
-def faults(address, **changes):
+def set_faults(address, **changes):
     assert call(address, "POST", "/control/faults", changes)[0] == 200
 
 
@@ -51,7 +51,7 @@
     assert read(address, 3)[1]["records"] == []
 
 
-def test_a_waiting_read_returns_with_the_next_record(start):
+def test_waiting_read_returns_with_the_next_record(start):
     address = start()
     pages = []
     reader = threading.Thread(
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize(
     "settings", [{"log_retention_records": 2}, {"log_retention_ms": 1_000}]
 )
-def test_old_records_go(start, settings):
+def test_old_records_expire_by_number_and_age(start, settings):
     address = start(**settings)
     append(address, "a", "b")
     eventually(lambda: append(address, "c") and read(address)[1]["earliest"])
@@ -75,7 +75,7 @@
     assert offsets == list(range(page["earliest"], page["next"]))
 
 
-def test_the_rate_is_kept(start):
+def test_appends_beyond_the_rate_limit_are_refused(start):
     address = start(log_appends_per_s=4.0)
     statuses = [append(address, i)[0] for i in range(20)]
     assert 429 in statuses
@@ -83,23 +83,23 @@
     assert read(address)[1]["next"] == accepted < 20
 
 
-def test_down_is_told_and_leaves_no_effect(start):
+def test_log_that_is_down_answers_503_and_appends_nothing(start):
     address = start()
-    faults(address, down=True)
+    set_faults(address, down=True)
     assert append(address, "a")[0] == 503
     assert read(address)[0] == 503
-    faults(address, down=False)
+    set_faults(address, down=False)
     assert read(address)[1]["next"] == 0
 
 
-@pytest.mark.parametrize("how", ["silent", "503"])
-def test_an_answer_is_lost_after_the_effect(start, how):
+@pytest.mark.parametrize("lost_answer", ["silent", "503"])
+def test_append_with_a_lost_answer_takes_effect(start, lost_answer):
     address = start()
-    faults(address, lose_answers=how)
+    set_faults(address, lose_answers=lost_answer)
     connection = http.client.HTTPConnection(address, timeout=0.5)
     body = json.dumps({"records": ["a"]})
     connection.request("POST", "/v1/log/append", body)
-    if how == "503":
+    if lost_answer == "503":
         assert connection.getresponse().status == 503
     else:
         with pytest.raises(TimeoutError):
@@ -107,19 +107,19 @@
     assert read(address)[1]["records"][0]["record"] == "a"
 
 
-def test_a_late_append_takes_effect_after_its_caller_left(start):
+def test_late_append_takes_effect_after_its_caller_disconnects(start):
     address = start()
-    faults(address, late_ms=500)
+    set_faults(address, late_ms=500)
     connection = http.client.HTTPConnection(address, timeout=30)
     body = json.dumps({"records": ["a"]})
     connection.request("POST", "/v1/log/append", body)
-    time.sleep(0.1)  # for the request to arrive; no verdict hangs on it
+    time.sleep(0.1)  # lets the request arrive; no check depends on it
     connection.close()
     assert read(address)[1]["next"] == 0
     eventually(lambda: read(address)[1]["next"] == 1)
 
 
-def test_the_list_of_hosts_lags(start):
+def test_list_of_hosts_is_reported_with_a_lag(start):
     address = start(hosts_lag_ms=700)
     entry = {"role": "entry", "address": "127.0.0.1:1", "state": "live"}
 
@@ -132,13 +132,13 @@
     eventually(lambda: names() == ["h1"])
     call(address, "DELETE", "/v1/hosts/h1")
     assert names() == ["h1"]
-    faults(address, hosts_lag_ms=0)
+    set_faults(address, hosts_lag_ms=0)
     assert names() == []
     status, found = call(address, "PUT", "/v1/hosts/h", {"role": "none"})
     assert status == 400, found
 
 
-def test_the_weight_store_keeps_its_rate(start):
+def test_weight_loads_beyond_the_rate_limit_are_refused(start):
     address = start(weight_loads_per_s=5.0)
     statuses = []
 
@@ -155,13 +155,13 @@
     assert counts["weights_limited"] == statuses.count(429) > 0
 
 
-def test_unknown_faults_are_refused(start):
+def test_unknown_fault_is_refused_with_a_suggestion(start):
     status, found = call(start(), "POST", "/control/faults", {"dwn": True})
     assert status == 400
     assert "down" in found["detail"]
 
 
-def test_wrong_settings_end_with_code_2():
+def test_wrong_settings_exit_with_code_2():
     with start_stand_in("platform", {"addres": "127.0.0.1:0"}) as process:
         assert process.wait() == 2
         assert "address" in process.output
--- a/tests/test_testing_process.py
+++ b/tests/test_testing_process.py
@@ -1,4 +1,4 @@
-"""The launcher, on a small module that answers as stand-ins do."""
+"""Tests of `Process` with a small module that prints a ready line."""
 
 import os
 import signal
@@ -18,13 +18,13 @@
 
 @pytest.fixture
 def script(tmp_path, monkeypatch):
-    """Make a module `ready_script` that the child can run."""
+    """Create a module `ready_script` that the child process can run."""
     (tmp_path / "ready_script.py").write_text(READY)
     monkeypatch.setenv("PYTHONPATH", str(tmp_path))
     return ["ready_script"]
 
 
-def test_ready_line_and_terminate(script):
+def test_terminate_ends_a_ready_process(script):
     with Process(script, {"address": "127.0.0.1:1"}) as process:
         assert process.address == "127.0.0.1:1"
         process.terminate()
@@ -32,7 +32,7 @@
         assert "a log line" in process.output
 
 
-def test_freeze_and_thaw(script):
+def test_freeze_stops_and_thaw_resumes_the_process(script):
     with Process(script, {"address": "127.0.0.1:1"}) as process:
         process.wait_ready()
         process.freeze()
@@ -44,7 +44,7 @@
         assert process.running
 
 
-def test_end_before_ready_is_told_with_the_output(script):
+def test_end_before_ready_raises_an_error_with_the_output(script):
     with (
         Process(script, {}) as process,
         pytest.raises(ProcessError) as caught,
