--- a/src/balsamlift/testing/_relay_world.py
+++ b/src/balsamlift/testing/_relay_harness.py
@@ -189,7 +189,7 @@
     is_whole: bool
 
 
-class RelayWorld:
+class RelayHarness:
     """Run a relay and the replicas that it sends requests to."""
 
     def __init__(
@@ -212,7 +212,7 @@
         self.routing = Routing()
         self.kernel = Kernel()
 
-    async def __aenter__(self) -> RelayWorld:
+    async def __aenter__(self) -> RelayHarness:
         """Start the replicas and the services of the relay."""
         for replica in self.list.replicas:
             await replica.start()
--- a/src/balsamlift/testing/relay.py
+++ b/src/balsamlift/testing/relay.py
@@ -1,13 +1,13 @@
 """Relay harness with stand-ins, for tests of the relay's HTTP behaviour."""
 
-from balsamlift.testing._relay_world import (
+from balsamlift.testing._relay_harness import (
     HOST,
     KEY,
     LIMITS,
     NAMES,
     WORKSPACE,
     CallerAnswer,
-    RelayWorld,
+    RelayHarness,
     StandInEngines,
     configuration,
     read_answer,
@@ -28,7 +28,7 @@
     "NAMES",
     "WORKSPACE",
     "CallerAnswer",
-    "RelayWorld",
+    "RelayHarness",
     "ReplicaConnection",
     "ReplicaRequest",
     "ReplicaStandIn",
--- a/tests/test_relay_cold_starts.py
+++ b/tests/test_relay_cold_starts.py
@@ -20,7 +20,7 @@
 )
 from balsamlift.testing.relay import (
     NAMES,
-    RelayWorld,
+    RelayHarness,
     ReplicaStandIn,
     configuration,
 )
@@ -173,7 +173,7 @@
         if pool == "model":
             cold.behave = warm.behave = stream
         cold.cold_ms = 60_000
-        async with RelayWorld([cold, warm], cold_limits=LIMITS) as world:
+        async with RelayHarness([cold, warm], cold_limits=LIMITS) as world:
             services = [
                 attrs.evolve(service, cold_requests_per_s=0.0)
                 for service in configuration().services
@@ -201,7 +201,7 @@
     async def test() -> None:
         (one,) = [ReplicaStandIn("i-1", "plain", NAMES)]
         one.cold_ms = 300
-        async with RelayWorld([one]) as world:
+        async with RelayHarness([one]) as world:
             began_s = world.clock.monotonic()
             until_s = world.upstreams.find("i-1").cold_until_s
             assert began_s < until_s <= began_s + 0.3
--- a/tests/test_relay_crash_detector.py
+++ b/tests/test_relay_crash_detector.py
@@ -11,7 +11,7 @@
 from balsamlift.relay._crash_detector import BrokenCall, CrashDetector
 from balsamlift.relay._fingerprint import fingerprint
 from balsamlift.relay._request import Call
-from balsamlift.testing.relay import NAMES, RelayWorld, ReplicaStandIn
+from balsamlift.testing.relay import NAMES, RelayHarness, ReplicaStandIn
 
 CHECK_WAIT_S = 0.4  # well above the delay of the check
 
@@ -23,7 +23,7 @@
     reported: list[BrokenCall] = []
     stand_in = ReplicaStandIn("plain-0", "plain", NAMES)
     stand_in.state = state
-    async with RelayWorld([stand_in]) as world:
+    async with RelayHarness([stand_in]) as world:
         world.configure()
         detector = CrashDetector(
             world.upstreams, SystemClock(), reported.append
--- a/tests/test_relay_crashes.py
+++ b/tests/test_relay_crashes.py
@@ -16,7 +16,7 @@
     KEY,
     NAMES,
     CallerAnswer,
-    RelayWorld,
+    RelayHarness,
     ReplicaConnection,
     ReplicaRequest,
     ReplicaStandIn,
@@ -72,7 +72,7 @@
 
 
 async def call(
-    world: RelayWorld, path: str, body: bytes, request_id: str
+    world: RelayHarness, path: str, body: bytes, request_id: str
 ) -> CallerAnswer | None:
     """Return the answer, or None if the connection closed without one."""
     try:
@@ -82,7 +82,7 @@
 
 
 async def call_until_refused(
-    world: RelayWorld, path: str
+    world: RelayHarness, path: str
 ) -> CallerAnswer | None:
     for number in range(MAX_CALLS):
         answer = await call(world, path, CRASHING, f"r{number}")
@@ -96,7 +96,7 @@
 def test_a_request_that_crashed_three_upstreams_is_refused(path: str) -> None:
     async def test() -> None:
         stand_ins = make_stand_ins()
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await call_until_refused(world, path)
             assert answer is not None
@@ -144,7 +144,7 @@
 ) -> None:
     async def test() -> None:
         stand_ins = make_stand_ins()
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             world.peers.crash_reports.add(crash_reports(path, "a", "b", "c"))
             answer = await call(world, path, CRASHING, "r1")
@@ -162,7 +162,7 @@
 def test_a_refused_request_may_run_again_after_its_reports_expire() -> None:
     async def test() -> None:
         stand_ins = make_stand_ins()
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             short_lived = [
                 CrashReport(report.fingerprint, report.upstream, 300)
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -35,7 +35,7 @@
     KEY,
     LIMITS,
     NAMES,
-    RelayWorld,
+    RelayHarness,
     ReplicaConnection,
     ReplicaRequest,
     ReplicaStandIn,
@@ -49,7 +49,7 @@
 LARGE = [f"{NAMES.token_usage}: 8000,500", f"{NAMES.length_hint}: 100"]
 RELAY = Path(balsamlift.relay.__file__).parent
 
-Scenario = Callable[[RelayWorld, list[ReplicaStandIn]], Awaitable[None]]
+Scenario = Callable[[RelayHarness, list[ReplicaStandIn]], Awaitable[None]]
 
 
 @attrs.frozen
@@ -82,27 +82,27 @@
 # Plain calls
 
 
-async def unknown_key(world: RelayWorld, _: list[ReplicaStandIn]) -> None:
+async def unknown_key(world: RelayHarness, _: list[ReplicaStandIn]) -> None:
     await world.call("/order/1", "r1", body=BODY, key="another-key")
 
 
-async def unknown_route(world: RelayWorld, _: list[ReplicaStandIn]) -> None:
+async def unknown_route(world: RelayHarness, _: list[ReplicaStandIn]) -> None:
     await world.call("/nowhere/1", "r1", body=BODY)
 
 
-async def answered(world: RelayWorld, _: list[ReplicaStandIn]) -> None:
+async def answered(world: RelayHarness, _: list[ReplicaStandIn]) -> None:
     await world.call("/order/1", "r1", body=BODY)
 
 
 async def broken_and_retried(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> None:
     behave(stand_ins, reset)
     await world.call("/view/1", "r1", method="GET")
 
 
 async def slow_and_retried(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> None:
     behave(stand_ins, hang)
     headers = [f"{NAMES.deadline_ms}: 400"]
@@ -110,7 +110,7 @@
 
 
 async def budget_spent(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> None:
     behave(stand_ins, refuse)
     world.relay._retries.spend = lambda service: False  # type: ignore[method-assign]
@@ -120,14 +120,14 @@
 # Request heads
 
 
-async def large_head(world: RelayWorld, _: list[ReplicaStandIn]) -> None:
+async def large_head(world: RelayHarness, _: list[ReplicaStandIn]) -> None:
     reader, writer = await world.connect()
     writer.write(request_bytes("/order/1")[:-2] + b"Filler: " + b"x" * 262_100)
     await reader.read()
     writer.close()
 
 
-async def slow_head(world: RelayWorld, _: list[ReplicaStandIn]) -> None:
+async def slow_head(world: RelayHarness, _: list[ReplicaStandIn]) -> None:
     limits = attrs.evolve(LIMITS, head_timeout_ms=100)
     world.configure(2, limits=limits)
     reader, writer = await world.connect()
@@ -140,7 +140,7 @@
 
 
 async def begin_generation(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> tuple[asyncio.Task[Any], ReplicaStandIn]:
     behave(stand_ins, hang_midway)
     calling = asyncio.create_task(
@@ -155,7 +155,7 @@
     """Return a scenario of a generation where all engines behave like this."""
 
     async def scenario(
-        world: RelayWorld, stand_ins: list[ReplicaStandIn]
+        world: RelayHarness, stand_ins: list[ReplicaStandIn]
     ) -> None:
         behave(stand_ins, how)
         await world.call("/draft/1", "r1", body=BODY, headers=USAGE)
@@ -170,7 +170,9 @@
 engines_repeat = generation_scenario(repeat)
 
 
-async def no_room(world: RelayWorld, stand_ins: list[ReplicaStandIn]) -> None:
+async def no_room(
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
+) -> None:
     routes = configuration().routes
     routes = (*routes[:2], route("stream", "/draft/", "model", target_ms=100))
     world.configure(2, routes=routes)
@@ -186,7 +188,7 @@
 
 
 async def caller_leaves(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> None:
     behave(stand_ins, hang_midway)
     _, writer = await world.connect()
@@ -199,7 +201,7 @@
 
 
 async def resumed_at_backup(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> None:
     calling, used = await begin_generation(world, stand_ins)
     behave(stand_ins, stream)
@@ -208,7 +210,7 @@
 
 
 async def engine_lost(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> None:
     calling, used = await begin_generation(world, stand_ins)
     behave(stand_ins, refuse)
@@ -217,7 +219,7 @@
     await calling
 
 
-async def moved(world: RelayWorld, stand_ins: list[ReplicaStandIn]) -> None:
+async def moved(world: RelayHarness, stand_ins: list[ReplicaStandIn]) -> None:
     calling, used = await begin_generation(world, stand_ins)
     stopped = asyncio.Event()
     world.engines.on_stop.append(stopped)
@@ -239,7 +241,7 @@
 
 
 async def move_refused(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> None:
     calling, used = await begin_generation(world, stand_ins)
 
@@ -254,7 +256,7 @@
 
 
 async def reported_failing(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> None:
     counts = {"model-0/failing": 2, "model-0/trial": 2}
     world.peers._load.peer_counts.update("another", counts, full=True)
@@ -263,7 +265,7 @@
 
 
 async def engine_crashes(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> None:
     async def crash(
         connection: ReplicaConnection, request: ReplicaRequest
@@ -289,7 +291,7 @@
 
 
 async def crashes_reported(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> None:
     request = caller_request()
     digest = fingerprint(request, KEY)
@@ -301,7 +303,7 @@
 
 
 async def newer_version_reported(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> None:
     world.routing.note_version(world.routing.offset + 1, "another")
     await unknown_route(world, stand_ins)
@@ -375,7 +377,7 @@
     async def run_scenario() -> None:
         async with asyncio.timeout(DEADLINE_S):
             stand_ins = make_stand_ins()
-            async with RelayWorld(stand_ins) as world:
+            async with RelayHarness(stand_ins) as world:
                 world.configure()
                 await scenario(world, stand_ins)
 
--- a/tests/test_relay_evacuated.py
+++ b/tests/test_relay_evacuated.py
@@ -16,7 +16,7 @@
 from balsamlift.peers import EvacuationSnapshot
 from balsamlift.testing.relay import (
     NAMES,
-    RelayWorld,
+    RelayHarness,
     ReplicaConnection,
     ReplicaRequest,
     ReplicaStandIn,
@@ -32,7 +32,7 @@
     ]
 
 
-def evacuate(world: RelayWorld, end: int, *domains: str) -> None:
+def evacuate(world: RelayHarness, end: int, *domains: str) -> None:
     news = EvacuationSnapshot(end, list(domains))
     world.upstreams.evacuations.offer(news, "store")
 
@@ -49,7 +49,7 @@
         if pool == "model":
             for stand_in in stand_ins:
                 stand_in.behave = stream
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             evacuate(world, 1, "north")
             calls = [world.call(path, headers=USAGE) for _ in range(SENDS)]
@@ -72,7 +72,7 @@
 ) -> None:
     async def test() -> None:
         stand_ins = replicas(pool, ["north", "south"])
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             evacuate(world, 1, "north", "south")
             began_s = time.monotonic()
@@ -90,7 +90,7 @@
     async def test() -> None:
         (stand_in,) = replicas("model", ["north"])
         stand_in.behave = hang_midway
-        async with RelayWorld([stand_in]) as world:
+        async with RelayHarness([stand_in]) as world:
             world.configure()
             large = [f"{NAMES.token_usage}: 9000,900"]
             first = asyncio.create_task(world.call("/draft/1", headers=large))
@@ -131,7 +131,7 @@
         stand_ins = replicas("model", ["north", "south"])
         for stand_in in stand_ins:
             stand_in.behave = slow
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling = asyncio.create_task(
                 world.call("/draft/1", headers=USAGE)
@@ -166,7 +166,7 @@
         stand_ins = replicas("model", ["north", "south"])
         for stand_in in stand_ins:
             stand_in.behave = hang
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling = asyncio.create_task(
                 world.call("/draft/1", headers=USAGE)
--- a/tests/test_relay_frontend.py
+++ b/tests/test_relay_frontend.py
@@ -9,7 +9,7 @@
 from balsamlift.testing.relay import (
     LIMITS,
     NAMES,
-    RelayWorld,
+    RelayHarness,
     ReplicaConnection,
     ReplicaRequest,
     ReplicaStandIn,
@@ -30,7 +30,7 @@
 def test_a_head_over_the_limit_gets_431_and_is_not_forwarded(size) -> None:
     async def test() -> None:
         stand_in = replica()
-        async with RelayWorld([stand_in]) as world:
+        async with RelayHarness([stand_in]) as world:
             world.configure()
             reader, writer = await world.connect()
             writer.write(request_bytes("/order/1", "big")[:-2])
@@ -49,7 +49,7 @@
 
 def test_a_head_within_the_limit_is_forwarded() -> None:
     async def test() -> None:
-        async with RelayWorld([replica()]) as world:
+        async with RelayHarness([replica()]) as world:
             world.configure()
             headers = ["Filler: " + "x" * 15_000]
             answer = await world.call("/order/1", headers=headers)
@@ -62,7 +62,7 @@
 def test_a_slow_head_gets_408(start) -> None:
     async def test() -> None:
         stand_in = replica()
-        async with RelayWorld([stand_in]) as world:
+        async with RelayHarness([stand_in]) as world:
             world.configure(limits=SHORT_TIMEOUTS)
             reader, writer = await world.connect()
             writer.write(start)
@@ -78,7 +78,7 @@
 
 def test_an_idle_connection_is_closed_after_its_limit() -> None:
     async def test() -> None:
-        async with RelayWorld([replica()]) as world:
+        async with RelayHarness([replica()]) as world:
             world.configure(limits=SHORT_TIMEOUTS)
             reader, writer = await world.connect()
             writer.write(request_bytes("/order/1"))
@@ -92,7 +92,7 @@
 
 def test_a_connection_may_idle_for_four_fifths_of_its_limit() -> None:
     async def test() -> None:
-        async with RelayWorld([replica()]) as world:
+        async with RelayHarness([replica()]) as world:
             limits = attrs.evolve(LIMITS, idle_timeout_ms=2_000)
             world.configure(limits=limits)
             reader, writer = await world.connect()
@@ -115,7 +115,7 @@
     async def test() -> None:
         stand_in = replica()
         stand_in.behave = slow
-        async with RelayWorld([stand_in]) as world:
+        async with RelayHarness([stand_in]) as world:
             world.configure(limits=SHORT_TIMEOUTS)
             answer = await world.call("/order/1")
         assert answer.status == 200
--- a/tests/test_relay_fuzz.py
+++ b/tests/test_relay_fuzz.py
@@ -10,7 +10,7 @@
     HOST,
     KEY,
     NAMES,
-    RelayWorld,
+    RelayHarness,
     ReplicaStandIn,
     request_bytes,
 )
@@ -45,7 +45,7 @@
 }
 
 
-async def send(world: RelayWorld, data: bytes) -> bytes:
+async def send(world: RelayHarness, data: bytes) -> bytes:
     """Send bytes and return everything received until the end."""
     reader, writer = await world.connect()
     writer.write(data)
@@ -62,7 +62,7 @@
 def test_ambiguous_framing_is_refused(name: str) -> None:
     async def test() -> None:
         stand_in = ReplicaStandIn("plain-0", "plain", NAMES)
-        async with RelayWorld([stand_in]) as world:
+        async with RelayHarness([stand_in]) as world:
             world.configure()
             data = (GOOD % "open") + SMUGGLED[name] + HIDDEN
             answer = await send(world, data.encode("latin-1"))
@@ -88,7 +88,7 @@
 def test_an_invalid_request_line_reaches_no_upstream(line: str) -> None:
     async def test() -> None:
         stand_in = ReplicaStandIn("plain-0", "plain", NAMES)
-        async with RelayWorld([stand_in]) as world:
+        async with RelayHarness([stand_in]) as world:
             world.configure()
             await send(world, f"{line}\r\nHost: {HOST}\r\n\r\n".encode())
             good = await world.call("/order/2", "after")
@@ -101,7 +101,7 @@
 def test_an_upgrade_is_not_forwarded() -> None:
     async def test() -> None:
         stand_in = ReplicaStandIn("plain-0", "plain", NAMES)
-        async with RelayWorld([stand_in]) as world:
+        async with RelayHarness([stand_in]) as world:
             world.configure()
             answer = await world.call(
                 "/order/1",
@@ -135,7 +135,7 @@
 
     async def test() -> None:
         stand_in = ReplicaStandIn("plain-0", "plain", NAMES)
-        async with RelayWorld([stand_in]) as world:
+        async with RelayHarness([stand_in]) as world:
             world.configure()
             await send(world, data)
             good = await world.call("/order/2", "after")
--- a/tests/test_relay_generations.py
+++ b/tests/test_relay_generations.py
@@ -17,7 +17,7 @@
 from balsamlift.testing.relay import (
     NAMES,
     CallerAnswer,
-    RelayWorld,
+    RelayHarness,
     ReplicaConnection,
     ReplicaRequest,
     ReplicaStandIn,
@@ -48,7 +48,7 @@
 
 
 async def begin_call(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> tuple[asyncio.Task[CallerAnswer], ReplicaStandIn]:
     """Start a generation; return the call and the engine that runs it."""
     calling = asyncio.create_task(world.call("/draft/1", headers=USAGE))
@@ -60,7 +60,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = stream
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/draft/1", headers=USAGE)
         assert answer.status == 200
@@ -75,7 +75,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = break_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling, used = await begin_call(world, stand_ins)
             for stand_in in stand_ins:
@@ -98,7 +98,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = hang_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling, used = await begin_call(world, stand_ins)
             for stand_in in stand_ins:
@@ -120,7 +120,7 @@
         stand_ins = engines(3)
         for stand_in in stand_ins:
             stand_in.behave = hang_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling, used = await begin_call(world, stand_ins)
             backup = used.arrivals[0].headers[NAMES.backup_address]
@@ -156,7 +156,7 @@
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = break_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/draft/1", headers=USAGE)
         assert not answer.is_whole
@@ -178,7 +178,7 @@
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = repeat
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/draft/1", headers=USAGE)
         assert not answer.is_whole
@@ -192,7 +192,7 @@
         stand_ins = engines()
         stand_ins[0].behave = refuse
         stand_ins[1].behave = stream
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             # Requests fill the retry budget.
             for n in range(10):
@@ -219,7 +219,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = lose
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call(
                 "/draft/1", headers=[*USAGE, f"{NAMES.deadline_ms}: 300"]
@@ -235,7 +235,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = hang_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             _, writer = await world.connect()
             writer.write(request_bytes("/draft/1", headers=USAGE))
@@ -260,7 +260,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = hang_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             for n in range(DISCONNECTING_CALLERS):
                 _, writer = await world.connect()
@@ -294,7 +294,7 @@
         stand_ins = engines(1)
         stand_ins[0].behave = slow
         full = [f"{NAMES.token_usage}: 8000,500", f"{NAMES.length_hint}: 100"]
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             first = asyncio.create_task(
                 world.call("/draft/1", "first", headers=full)
@@ -320,7 +320,7 @@
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = stream
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             world.relay.leave(within_s=7.0)
             refused = await world.call("/draft/1", "r1", headers=long)
@@ -339,7 +339,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = hang_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling, used = await begin_call(world, stand_ins)
             for stand_in in stand_ins:
@@ -372,7 +372,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = late
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling, used = await begin_call(world, stand_ins)
             used.state = "leaving"
@@ -400,7 +400,7 @@
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = hang_then_reset
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling = asyncio.create_task(
                 world.call("/draft/1", headers=USAGE)
@@ -438,7 +438,7 @@
         stand_ins = engines(1)
         stand_ins[0].behave = slow
         full = [f"{NAMES.token_usage}: 8000,500", f"{NAMES.length_hint}: 100"]
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             reader, writer = await world.connect()
             if reused:
@@ -477,7 +477,7 @@
         stand_ins = engines(1)
         stand_ins[0].behave = slow
         full = [f"{NAMES.token_usage}: 8000,500", f"{NAMES.length_hint}: 100"]
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             first = asyncio.create_task(
                 world.call("/draft/1", "full", headers=full)
@@ -505,7 +505,7 @@
         stand_ins = engines(4)
         for stand_in in stand_ins:
             stand_in.behave = stream
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             # Load makes the live engine the last choice.
             world.relay._balancer.add(stand_ins[3].name, 5_000)
@@ -521,7 +521,7 @@
 def test_failed_connection_attempts_are_limited() -> None:
     async def test() -> None:
         stand_ins = engines(MAX_UNREACHABLE_UPSTREAMS + 1)
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             last = stand_ins[MAX_UNREACHABLE_UPSTREAMS]
             world.relay._balancer.add(last.name, 5_000)
--- a/tests/test_relay_incarnations.py
+++ b/tests/test_relay_incarnations.py
@@ -18,7 +18,7 @@
 
 from balsamlift.testing.relay import (
     NAMES,
-    RelayWorld,
+    RelayHarness,
     ReplicaStandIn,
     event,
 )
@@ -28,7 +28,7 @@
 WHOLE = b"".join(event(number) for number in range(LAST_EVENT_ID + 1))
 
 
-async def wait_until_known(world: RelayWorld, started_ms: int) -> None:
+async def wait_until_known(world: RelayHarness, started_ms: int) -> None:
     """Wait until all upstreams are known with that start time."""
     while {u.started_ms for u in world.upstreams.all()} != {started_ms}:
         await asyncio.sleep(0.005)
@@ -38,7 +38,7 @@
     async def test() -> None:
         replica = ReplicaStandIn("plain-1", "plain", NAMES)
         replica.started_ms = FIRST_MS
-        async with RelayWorld([replica]) as world:
+        async with RelayHarness([replica]) as world:
             world.configure()
             for number in range(3):
                 answer = await world.call("/view/1", f"r{number}")
@@ -61,7 +61,7 @@
     async def test() -> None:
         replica = ReplicaStandIn("plain-1", "plain", NAMES)
         replica.started_ms = FIRST_MS
-        async with RelayWorld([replica]) as world:
+        async with RelayHarness([replica]) as world:
             world.configure()
             (before,) = world.upstreams.all()
             world.upstreams.mark(before.name, "leaving", "report")
@@ -74,7 +74,7 @@
 
 
 async def check_generation_survives(
-    restart: Callable[[RelayWorld, ReplicaStandIn], None],
+    restart: Callable[[RelayHarness, ReplicaStandIn], None],
 ) -> None:
     """Restart the engine of a generation, which must still complete."""
     stand_ins = [
@@ -83,7 +83,7 @@
     for stand_in in stand_ins:
         stand_in.behave = hang_midway
         stand_in.started_ms = FIRST_MS
-    async with RelayWorld(stand_ins) as world:
+    async with RelayHarness(stand_ins) as world:
         world.configure()
         calling = asyncio.create_task(world.call("/draft/1", headers=USAGE))
         used = await until_arrived(stand_ins)
@@ -99,7 +99,7 @@
 
 
 def test_a_generation_leaves_an_engine_listed_as_restarted() -> None:
-    def listed(world: RelayWorld, used: ReplicaStandIn) -> None:
+    def listed(world: RelayHarness, used: ReplicaStandIn) -> None:
         del world
         used.started_ms = SECOND_MS
 
@@ -109,7 +109,7 @@
 def test_a_generation_leaves_an_engine_that_reports_its_restart() -> None:
     """The restart is seen in the engine's report while the list is down."""
 
-    def reported(world: RelayWorld, used: ReplicaStandIn) -> None:
+    def reported(world: RelayHarness, used: ReplicaStandIn) -> None:
         world.list.is_down = True
         world.engines.started_ms[used.name] = SECOND_MS
 
--- a/tests/test_relay_leaving_load.py
+++ b/tests/test_relay_leaving_load.py
@@ -22,7 +22,7 @@
 from balsamlift.testing.relay import (
     NAMES,
     CallerAnswer,
-    RelayWorld,
+    RelayHarness,
     ReplicaConnection,
     ReplicaRequest,
     ReplicaStandIn,
@@ -46,7 +46,7 @@
 class LeavingEngine:
     """The generations on a leaving engine, and the use of its link."""
 
-    def __init__(self, world: RelayWorld, ended: list[str]) -> None:
+    def __init__(self, world: RelayHarness, ended: list[str]) -> None:
         """Copy over one link; reports still list the `ended` runs."""
         self.world = world
         self.ended = ended
@@ -117,7 +117,7 @@
     first, second = (
         ReplicaStandIn(f"model-{i}", "model", NAMES) for i in range(2)
     )
-    async with RelayWorld([first]) as world:
+    async with RelayHarness([first]) as world:
         engine = LeavingEngine(world, [f"e{n}" for n in range(ended)])
         world.engines.report = engine.report  # type: ignore[method-assign]
         world.engines.copy = engine.copy  # type: ignore[method-assign]
--- a/tests/test_relay_regions.py
+++ b/tests/test_relay_regions.py
@@ -16,7 +16,7 @@
     KEY,
     NAMES,
     WORKSPACE,
-    RelayWorld,
+    RelayHarness,
     ReplicaStandIn,
     route,
 )
@@ -68,7 +68,7 @@
         workspace = Workspace(
             name=WORKSPACE, keys=(KEY,), regions=frozenset(workspace_regions)
         )
-        async with RelayWorld(stand_ins, regions=REGIONS) as world:
+        async with RelayHarness(stand_ins, regions=REGIONS) as world:
             world.configure(routes=(bound,), workspaces=(workspace,))
             calls = [
                 world.call("/a/1", f"r{n}", headers=USAGE)
--- a/tests/test_relay_unary.py
+++ b/tests/test_relay_unary.py
@@ -12,7 +12,7 @@
     KEY,
     NAMES,
     WORKSPACE,
-    RelayWorld,
+    RelayHarness,
     ReplicaConnection,
     ReplicaRequest,
     ReplicaStandIn,
@@ -66,7 +66,7 @@
 def test_forwards_the_request_unchanged() -> None:
     async def test() -> None:
         stand_ins = replicas(1)
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call(
                 "/order/7?a=%20b&c",
@@ -99,7 +99,7 @@
         stand_ins = replicas()
         for stand_in in stand_ins:
             stand_in.behave = behave
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/order/1")
         assert answer.status == 502
@@ -117,7 +117,7 @@
     async def test() -> None:
         stand_ins = replicas()
         stand_ins[0].behave = behave
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             for n in range(4):
                 answer = await world.call(f"/view/{n}", f"r{n}", method="GET")
@@ -140,7 +140,7 @@
     async def test() -> None:
         stand_ins = replicas(1)
         stand_ins[0].behave = answer_then_close
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             assert (await world.call("/order/1", "r1")).status == 200
             assert (await world.call("/order/2", "r2")).status == 502
@@ -161,7 +161,7 @@
     async def test() -> None:
         stand_ins = replicas(1)
         stand_ins[0].behave = answer_twice
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             for n in range(3):
                 answer = await world.call(f"/order/{n}", f"r{n}")
@@ -177,7 +177,7 @@
         stand_ins = replicas()
         for stand_in in stand_ins:
             stand_in.behave = refuse
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             for n in range(20):
                 await world.call(f"/order/{n}", f"a{n}")
@@ -194,7 +194,7 @@
         stand_ins = replicas()
         for stand_in in stand_ins:
             stand_in.behave = fail
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/order/1")
         assert (answer.status, answer.body) == (500, b"broken")
@@ -216,7 +216,7 @@
     async def test() -> None:
         stand_ins = replicas(1)
         stand_ins[0].behave = without_length
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/order/1")
         assert (answer.status, answer.body) == (200, b"as long as it is")
@@ -233,7 +233,7 @@
     async def test() -> None:
         stand_ins = replicas(1)
         stand_ins[0].behave = hang
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure(
                 routes=(
                     route(
@@ -258,7 +258,7 @@
     async def test() -> None:
         stand_ins = replicas(1)
         stand_ins[0].behave = hang
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             _, writer = await world.connect()
             writer.write(request_bytes("/order/1"))
@@ -281,7 +281,7 @@
 ) -> None:
     async def test() -> None:
         stand_ins = replicas(1)
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call(path, key=key)
         assert answer.status == status
@@ -292,7 +292,7 @@
 
 def test_is_not_ready_before_its_first_configuration() -> None:
     async def test() -> None:
-        async with RelayWorld(replicas(1)) as world:
+        async with RelayHarness(replicas(1)) as world:
             answer = await world.call("/nowhere/1", key="unknown")
             assert answer.status == 503
             assert not world.directory.is_ready
@@ -306,7 +306,7 @@
 def test_a_leaving_upstream_gets_no_new_call() -> None:
     async def test() -> None:
         stand_ins = replicas()
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             stand_ins[0].state = "leaving"
             while len(world.upstreams.in_pool("plain")) == 2:
@@ -322,7 +322,7 @@
 def test_an_upstream_with_another_id_runs_nothing() -> None:
     async def test() -> None:
         stand_ins = replicas()
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             # The list is not read again before the call.
             stand_ins[0].name = "reborn"
@@ -335,7 +335,7 @@
 
 def test_responds_to_pipelined_requests_in_order() -> None:
     async def test() -> None:
-        async with RelayWorld(replicas()) as world:
+        async with RelayHarness(replicas()) as world:
             world.configure()
             reader, writer = await world.connect()
             for n in range(3):
@@ -350,7 +350,7 @@
 
 def test_tells_callers_to_close_while_leaving() -> None:
     async def test() -> None:
-        async with RelayWorld(replicas()) as world:
+        async with RelayHarness(replicas()) as world:
             world.configure()
             world.frontend.is_closing = True
             answer = await world.call("/order/1")
@@ -363,7 +363,7 @@
 def test_a_body_over_the_limit_is_not_forwarded() -> None:
     async def test() -> None:
         stand_ins = replicas(1)
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/order/1", body=b"x" * 1_000_001)
         assert answer.status == 413
@@ -374,7 +374,7 @@
 
 def test_retry_after_without_an_upstream_is_within_the_deadline() -> None:
     async def test() -> None:
-        async with RelayWorld([]) as world:
+        async with RelayHarness([]) as world:
             world.configure()
             answer = await world.call("/order/1")
         assert answer.status == 503
