--- a/src/balsamlift/testing/_log_store.py
+++ b/src/balsamlift/testing/_log_store.py
@@ -73,7 +73,7 @@
             earliest=earliest, next=start + len(records), records=records
         )
 
-    async def wait_beyond(self, offset: int, wait_ms: int) -> None:
+    async def wait_for_record(self, offset: int, wait_ms: int) -> None:
         """Wait for a record at `offset`, for `wait_ms` at most."""
         deadline = self._clock.monotonic() + wait_ms / 1_000
         while self._end <= offset:
--- a/src/balsamlift/testing/_platform.py
+++ b/src/balsamlift/testing/_platform.py
@@ -197,7 +197,7 @@
             self.query_int("limit", _MAX_READ_RECORDS), _MAX_READ_RECORDS
         )
         wait_ms = min(self.query_int("wait_ms", 0), _MAX_WAIT_MS)
-        await store.wait_beyond(offset, wait_ms)
+        await store.wait_for_record(offset, wait_ms)
         await self.delay()
         if await self.refuse_if_down():  # may have changed during the wait
             return
--- a/tests/test_presets_operator.py
+++ b/tests/test_presets_operator.py
@@ -77,7 +77,7 @@
             result = await operator.publish(make_preset("peak"))
             assert result.state == "unknown"
             assert result.generation is None
-            await deployment.platform.store.wait_beyond(0, 10_000)
+            await deployment.platform.store.wait_for_record(0, 10_000)
             resolved = await operator.outcome(result.op)
             assert resolved.state == "accepted"
             assert deployment.platform.store.end == 1
