--- a/src/balsamlift/testing/_keyed_store.py
+++ b/src/balsamlift/testing/_keyed_store.py
@@ -88,22 +88,22 @@
         """Return a topic, creating it on first use."""
         return self.topics.setdefault(name, Topic())
 
-    def restore(self, kept: int) -> None:
-        """Restore a backup with the first `kept` records of each topic.
+    def restore(self, record_count: int) -> None:
+        """Restore the first `record_count` records of each topic.
 
         The store then begins a new era. Topics whose history was dropped
-        by `forget` are not supported.
+        by `drop_history` are not supported.
         """
         assert isinstance(self.era, int)
         self.era += 1
         for topic in self.topics.values():
-            records = topic.records[:kept]
+            records = topic.records[:record_count]
             topic.records.clear()
             topic.newest.clear()
             for key, value in records:
                 topic.append(key, value)
 
-    def forget(self, name: str) -> None:
+    def drop_history(self, name: str) -> None:
         """Drop the history of a topic, but keep the newest of each key."""
         topic = self.topic(name)
         topic.first = topic.end
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -136,8 +136,8 @@
                 await asyncio.sleep(fault.for_s)
                 self._store.fault = ""
             case "store_forgets":
-                self._store.forget(CONFIGURATION_TOPIC)
-                self._store.forget(UPSTREAMS_TOPIC)
+                self._store.drop_history(CONFIGURATION_TOPIC)
+                self._store.drop_history(UPSTREAMS_TOPIC)
             case "store_link":
                 host.set_link(link)
                 await asyncio.sleep(fault.for_s)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -268,7 +268,7 @@
 def test_lost_history_raises_its_own_error() -> None:
     async def test(fake_store: KeyedStore, store: Store) -> None:
         fake_store.topic("keyed.t").append("k", b"v")
-        fake_store.forget("keyed.t")
+        fake_store.drop_history("keyed.t")
         with pytest.raises(HistoryLostError):
             await store.read("keyed.t", 0, 0)
 
@@ -283,7 +283,7 @@
         assert await follower.read(0)
         topic.append("b", b"2")
         topic.append("a", b"")
-        fake_store.forget("keyed.t")
+        fake_store.drop_history("keyed.t")
         assert await follower.read(0)
         assert follower.values() == {"b": b"2"}
         assert not await follower.read(10)
@@ -313,7 +313,7 @@
             await asyncio.sleep(0.3)
             fake_store.fault = ""
             await wait_until(lambda version=version: routing.offset == version)
-        fake_store.forget(CONFIGURATION_TOPIC)
+        fake_store.drop_history(CONFIGURATION_TOPIC)
         topic.append(CONFIGURATION_KEY, encode_manifest(12))
         await wait_until(lambda: routing.offset == 12)
         topic.append(CONFIGURATION_KEY, encode_manifest(11))
@@ -493,7 +493,7 @@
         fake_store.fault = ""
         await wait_until(lambda: evacuations.domains == {"south"})
         topic.append(f"{EVACUATION_PREFIX}south", b"")
-        fake_store.forget(CONFIGURATION_TOPIC)
+        fake_store.drop_history(CONFIGURATION_TOPIC)
         await wait_until(lambda: not evacuations.domains)
         await kernel.stop()
 
@@ -512,7 +512,7 @@
         assert await follower.read(0)
         restored_eras: list[int] = []
         follower.on_restored(lambda: restored_eras.append(follower.era))
-        fake_store.restore(kept=1)
+        fake_store.restore(record_count=1)
         topic.append("k1", b"new")
         topic.append("k3", b"new")
         assert await follower.read(0)
@@ -521,7 +521,7 @@
         }
         assert restored_eras == [5]
         # The known end is now past the end of the topic.
-        fake_store.restore(kept=1)
+        fake_store.restore(record_count=1)
         assert await follower.read(0)
         assert follower.values() == {"k0": b"old"}
         assert restored_eras == [5, 6]
@@ -570,7 +570,7 @@
         await registration.start(Kernel())
         topic = fake_store.topic(HOSTS_TOPIC)
         await wait_until(lambda: topic.records)
-        fake_store.restore(kept=0)
+        fake_store.restore(record_count=0)
         assert not topic.records
         registration.renew()
         await wait_until(lambda: topic.records)
