--- a/src/balsamlift/testing/_relay_harness.py
+++ b/src/balsamlift/testing/_relay_harness.py
@@ -145,16 +145,16 @@
     def __init__(self) -> None:
         """Start with engines that accept every copy."""
         self.copies: list[tuple[str, str, str, bool]] = []
-        self.has_room = True
+        self.accepts_copies = True
         self.running: dict[str, list[RunningGeneration]] = {}
         self.leaving: set[str] = set()
         self.started_ms: dict[str, int] = {}
-        self.asked: list[str] = []
-        self.on_stop: list[asyncio.Event] = []
+        self.report_calls: list[str] = []
+        self.stop_events: list[asyncio.Event] = []
 
     async def report(self, upstream: Upstream) -> EngineReport:
         """Return the report that the test has set for the engine."""
-        self.asked.append(upstream.name)
+        self.report_calls.append(upstream.name)
         return EngineReport(
             runs=self.running.get(upstream.name, []),
             is_leaving=upstream.name in self.leaving,
@@ -169,12 +169,12 @@
         *,
         stop: bool,
     ) -> MemoryCopy:
-        """Record the copy; with `stop`, set the events in `on_stop`."""
+        """Record the copy; with `stop`, set the events in `stop_events`."""
         self.copies.append((source.name, request_id, target.name, stop))
-        if not self.has_room:
+        if not self.accepts_copies:
             raise CopyRefusedError(source.name, "no room")
         if stop:
-            for waiting in self.on_stop:
+            for waiting in self.stop_events:
                 waiting.set()
         return MemoryCopy(f"handle-{request_id}", source, target)
 
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -222,7 +222,7 @@
 async def moved(world: RelayHarness, stand_ins: list[ReplicaStandIn]) -> None:
     calling, used = await begin_generation(world, stand_ins)
     stopped = asyncio.Event()
-    world.engines.on_stop.append(stopped)
+    world.engines.stop_events.append(stopped)
 
     async def not_from_backup(
         connection: ReplicaConnection, request: ReplicaRequest
--- a/tests/test_relay_generations.py
+++ b/tests/test_relay_generations.py
@@ -125,7 +125,7 @@
             calling, used = await begin_call(world, stand_ins)
             backup = used.arrivals[0].headers[NAMES.backup_address]
             stopped = asyncio.Event()
-            world.engines.on_stop.append(stopped)
+            world.engines.stop_events.append(stopped)
 
             async def refuse(
                 connection: ReplicaConnection, request: ReplicaRequest
@@ -344,14 +344,14 @@
             calling, used = await begin_call(world, stand_ins)
             for stand_in in stand_ins:
                 stand_in.behave = stream
-            assert world.engines.asked == []
+            assert world.engines.report_calls == []
             world.list.is_down = True
             world.engines.leaving.add(used.name)
             answer = await calling
             assert answer.is_whole
             assert answer.body == event_stream()
             assert world.upstreams.find(used.name).state == "leaving"
-        assert set(world.engines.asked) == {used.name}
+        assert set(world.engines.report_calls) == {used.name}
 
     run(test())
 
