--- a/src/balsamlift/testing/_engine_handlers.py
+++ b/src/balsamlift/testing/_engine_handlers.py
@@ -186,7 +186,7 @@
         order = self.read(Order)
         if order is None:
             return
-        if self._engine.orders.take(order):
+        if self._engine.orders.accept(order):
             self.reply({"accepted": True})
             return
         fence = self._engine.orders.state.fence
--- a/src/balsamlift/testing/_orders.py
+++ b/src/balsamlift/testing/_orders.py
@@ -62,7 +62,7 @@
         self.refused = 0
         self.loads = 0
 
-    def take(self, order: Order) -> bool:
+    def accept(self, order: Order) -> bool:
         """Start to apply an order; return false if its fence is stale."""
         if self._settings.checks_fence and order.fence < self.state.fence:
             self.refused += 1
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -81,7 +81,7 @@
             await eventually(lambda: stale.events("lease_lost"))
             assert stale.preset_host.generation() == generation
             assert stale.orders.fence(generation) is None
-            engine.orders.take(stale_order())
+            engine.orders.accept(stale_order())
             assert not cluster.all_run("second")
             await eventually(lambda: cluster.all_run("second"))
             assert fresh.orders.holds_lease
@@ -157,7 +157,7 @@
     async def main():
         async with run_cluster(engines=2, load_ms=2_000) as cluster:
             await cluster.switch_to("first")
-            cluster.engines[1].orders.take(stale_order())
+            cluster.engines[1].orders.accept(stale_order())
             await cluster.add_host("a")
             max_loading = 0
 
@@ -182,7 +182,7 @@
             cluster.preset_deployment.set_faults(down=True)
             await eventually(lambda: holder.events("lease_lost"))
             sent = len(holder.events("order_sent"))
-            engine.orders.take(stale_order())
+            engine.orders.accept(stale_order())
             await eventually(lambda: cluster.all_run("stale"))
             assert holder.orders.fence(generation) is None
             assert len(holder.events("order_sent")) == sent
