--- a/src/balsamlift/testing/_relay_harness.py
+++ b/src/balsamlift/testing/_relay_harness.py
@@ -46,7 +46,7 @@
 from balsamlift.testing._replica import ReplicaStandIn
 from balsamlift.timeline import Timeline
 
-NAMES = HeaderNames(
+HEADER_NAMES = HeaderNames(
     request_id="Request-Id",
     deadline_ms="Deadline-Ms",
     signature="Signature",
@@ -232,7 +232,7 @@
             retries=limits,
             cold_limits=self._cold_limits,
             regions=self._regions,
-            names=NAMES,
+            names=HEADER_NAMES,
         )
         self.relay = Relay(relay, self.engines, self.clock, rng)
         for service in (
@@ -302,8 +302,8 @@
     lines = [
         f"{method} {path} HTTP/1.1",
         f"Host: {HOST}",
-        f"{NAMES.request_id}: {request_id}",
-        f"{NAMES.deadline_ms}: 3000",
+        f"{HEADER_NAMES.request_id}: {request_id}",
+        f"{HEADER_NAMES.deadline_ms}: 3000",
         f"Authorization: Token {key}",
         f"Content-Length: {len(body)}",
         *headers,
--- a/src/balsamlift/testing/relay.py
+++ b/src/balsamlift/testing/relay.py
@@ -1,10 +1,10 @@
 """Relay harness with stand-ins, for tests of the relay's HTTP behaviour."""
 
 from balsamlift.testing._relay_harness import (
+    HEADER_NAMES,
     HOST,
     KEY,
     LIMITS,
-    NAMES,
     WORKSPACE,
     CallerAnswer,
     RelayHarness,
@@ -22,10 +22,10 @@
 )
 
 __all__ = [
+    "HEADER_NAMES",
     "HOST",
     "KEY",
     "LIMITS",
-    "NAMES",
     "WORKSPACE",
     "CallerAnswer",
     "RelayHarness",
--- a/tests/_relay_helpers.py
+++ b/tests/_relay_helpers.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable
 
 from balsamlift.testing.relay import (
-    NAMES,
+    HEADER_NAMES,
     ReplicaConnection,
     ReplicaRequest,
     ReplicaStandIn,
@@ -12,7 +12,10 @@
 
 DEADLINE_S = 15.0
 LAST_EVENT_ID = 9
-USAGE = [f"{NAMES.token_usage}: 1000,200", f"{NAMES.length_hint}: 100"]
+USAGE = [
+    f"{HEADER_NAMES.token_usage}: 1000,200",
+    f"{HEADER_NAMES.length_hint}: 100",
+]
 
 
 def run(test: Awaitable[None]) -> None:
@@ -32,7 +35,7 @@
 
 
 def first_event(request: ReplicaRequest) -> int:
-    return int(request.headers.get(NAMES.last_event_id, "-1")) + 1
+    return int(request.headers.get(HEADER_NAMES.last_event_id, "-1")) + 1
 
 
 async def stream(
--- a/tests/test_relay_cold_starts.py
+++ b/tests/test_relay_cold_starts.py
@@ -19,7 +19,7 @@
     host_share,
 )
 from balsamlift.testing.relay import (
-    NAMES,
+    HEADER_NAMES,
     RelayHarness,
     ReplicaStandIn,
     configuration,
@@ -169,7 +169,9 @@
     path: str, pool: str
 ) -> None:
     async def test() -> None:
-        cold, warm = (ReplicaStandIn(f"i-{n}", pool, NAMES) for n in "12")
+        cold, warm = (
+            ReplicaStandIn(f"i-{n}", pool, HEADER_NAMES) for n in "12"
+        )
         if pool == "model":
             cold.behave = warm.behave = stream
         cold.cold_ms = 60_000
@@ -199,7 +201,7 @@
 
 def test_rereading_an_upstream_does_not_extend_its_cold_start() -> None:
     async def test() -> None:
-        (one,) = [ReplicaStandIn("i-1", "plain", NAMES)]
+        (one,) = [ReplicaStandIn("i-1", "plain", HEADER_NAMES)]
         one.cold_ms = 300
         async with RelayHarness([one]) as world:
             began_s = world.clock.monotonic()
--- a/tests/test_relay_crash_detector.py
+++ b/tests/test_relay_crash_detector.py
@@ -11,7 +11,7 @@
 from balsamlift.relay._crash_detector import BrokenCall, CrashDetector
 from balsamlift.relay._fingerprint import fingerprint
 from balsamlift.relay._request import Call
-from balsamlift.testing.relay import NAMES, RelayHarness, ReplicaStandIn
+from balsamlift.testing.relay import HEADER_NAMES, RelayHarness, ReplicaStandIn
 
 CHECK_WAIT_S = 0.4  # well above the delay of the check
 
@@ -21,7 +21,7 @@
 ) -> list[BrokenCall]:
     """Return the calls reported after an upstream broke off two of them."""
     reported: list[BrokenCall] = []
-    stand_in = ReplicaStandIn("plain-0", "plain", NAMES)
+    stand_in = ReplicaStandIn("plain-0", "plain", HEADER_NAMES)
     stand_in.state = state
     async with RelayHarness([stand_in]) as world:
         world.configure()
@@ -66,8 +66,8 @@
 
 def test_repeats_of_a_request_have_the_same_fingerprint() -> None:
     first, repeat = request("/a/x"), request("/a/x")
-    repeat.headers[NAMES.request_id] = "another"
-    repeat.headers[NAMES.deadline_ms] = "7"
+    repeat.headers[HEADER_NAMES.request_id] = "another"
+    repeat.headers[HEADER_NAMES.deadline_ms] = "7"
     assert fingerprint(first, "key") == fingerprint(repeat, "key")
     assert fingerprint(first, "key") != fingerprint(first, "other key")
     for fields in ({"target": "/a/y"}, {"body": b"b"}, {"method": "PUT"}):
--- a/tests/test_relay_crashes.py
+++ b/tests/test_relay_crashes.py
@@ -12,9 +12,9 @@
 from balsamlift.relay._fingerprint import fingerprint
 from balsamlift.relay._request import CallerRequest
 from balsamlift.testing.relay import (
+    HEADER_NAMES,
     HOST,
     KEY,
-    NAMES,
     CallerAnswer,
     RelayHarness,
     ReplicaConnection,
@@ -53,7 +53,7 @@
 
 def make_stand_ins() -> list[ReplicaStandIn]:
     stand_ins = [
-        ReplicaStandIn(f"{pool}-{number}", pool, NAMES)
+        ReplicaStandIn(f"{pool}-{number}", pool, HEADER_NAMES)
         for pool in ("plain", "model")
         for number in range(UPSTREAMS)
     ]
@@ -130,7 +130,7 @@
             {
                 "Host": HOST,
                 "Authorization": f"Token {KEY}",
-                NAMES.request_id: "r1",
+                HEADER_NAMES.request_id: "r1",
             }
         ),
         body=CRASHING,
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -32,9 +32,9 @@
 from balsamlift.relay._fingerprint import fingerprint
 from balsamlift.relay._request import CallerRequest
 from balsamlift.testing.relay import (
+    HEADER_NAMES,
     KEY,
     LIMITS,
-    NAMES,
     RelayHarness,
     ReplicaConnection,
     ReplicaRequest,
@@ -46,7 +46,10 @@
 )
 
 BODY = b"body-of-a-caller"
-LARGE = [f"{NAMES.token_usage}: 8000,500", f"{NAMES.length_hint}: 100"]
+LARGE = [
+    f"{HEADER_NAMES.token_usage}: 8000,500",
+    f"{HEADER_NAMES.length_hint}: 100",
+]
 RELAY = Path(balsamlift.relay.__file__).parent
 
 Scenario = Callable[[RelayHarness, list[ReplicaStandIn]], Awaitable[None]]
@@ -105,7 +108,7 @@
     world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> None:
     behave(stand_ins, hang)
-    headers = [f"{NAMES.deadline_ms}: 400"]
+    headers = [f"{HEADER_NAMES.deadline_ms}: 400"]
     await world.call("/view/1", "r1", method="GET", headers=headers)
 
 
@@ -227,7 +230,7 @@
     async def not_from_backup(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
-        if request.headers[NAMES.resume_source].endswith("/r1"):
+        if request.headers[HEADER_NAMES.resume_source].endswith("/r1"):
             await connection.refuse(request)
         else:
             await stream(connection, request)
@@ -364,8 +367,12 @@
 
 
 def make_stand_ins() -> list[ReplicaStandIn]:
-    plain = [ReplicaStandIn(f"plain-{i}", "plain", NAMES) for i in range(2)]
-    models = [ReplicaStandIn(f"model-{i}", "model", NAMES) for i in range(3)]
+    plain = [
+        ReplicaStandIn(f"plain-{i}", "plain", HEADER_NAMES) for i in range(2)
+    ]
+    models = [
+        ReplicaStandIn(f"model-{i}", "model", HEADER_NAMES) for i in range(3)
+    ]
     return [*plain, *models]
 
 
--- a/tests/test_relay_evacuated.py
+++ b/tests/test_relay_evacuated.py
@@ -15,7 +15,7 @@
 
 from balsamlift.peers import EvacuationSnapshot
 from balsamlift.testing.relay import (
-    NAMES,
+    HEADER_NAMES,
     RelayHarness,
     ReplicaConnection,
     ReplicaRequest,
@@ -27,7 +27,7 @@
 
 def replicas(pool: str, domains: list[str]) -> list[ReplicaStandIn]:
     return [
-        ReplicaStandIn(f"i-{n}", pool, NAMES, failure_domain=domain)
+        ReplicaStandIn(f"i-{n}", pool, HEADER_NAMES, failure_domain=domain)
         for n, domain in enumerate(domains)
     ]
 
@@ -92,7 +92,7 @@
         stand_in.behave = hang_midway
         async with RelayHarness([stand_in]) as world:
             world.configure()
-            large = [f"{NAMES.token_usage}: 9000,900"]
+            large = [f"{HEADER_NAMES.token_usage}: 9000,900"]
             first = asyncio.create_task(world.call("/draft/1", headers=large))
             await until_arrived([stand_in])
             waiting = [
--- a/tests/test_relay_frontend.py
+++ b/tests/test_relay_frontend.py
@@ -7,8 +7,8 @@
 from _relay_helpers import run
 
 from balsamlift.testing.relay import (
+    HEADER_NAMES,
     LIMITS,
-    NAMES,
     RelayHarness,
     ReplicaConnection,
     ReplicaRequest,
@@ -21,7 +21,7 @@
 
 
 def replica() -> ReplicaStandIn:
-    return ReplicaStandIn("plain-1", "plain", NAMES)
+    return ReplicaStandIn("plain-1", "plain", HEADER_NAMES)
 
 
 # Both are over the limit of 16 KB. The second is too large to be read in full,
--- a/tests/test_relay_fuzz.py
+++ b/tests/test_relay_fuzz.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from balsamlift.testing.relay import (
+    HEADER_NAMES,
     HOST,
     KEY,
-    NAMES,
     RelayHarness,
     ReplicaStandIn,
     request_bytes,
@@ -18,11 +18,11 @@
 DEADLINE_S = 20.0
 GOOD = (
     f"POST /order/1 HTTP/1.1\r\nHost: {HOST}\r\n"
-    f"{NAMES.request_id}: %s\r\nAuthorization: Token {KEY}\r\n"
+    f"{HEADER_NAMES.request_id}: %s\r\nAuthorization: Token {KEY}\r\n"
 )
 HIDDEN = (
     f"POST /order/hidden HTTP/1.1\r\nHost: {HOST}\r\n"
-    f"{NAMES.request_id}: hidden\r\nAuthorization: Token {KEY}\r\n"
+    f"{HEADER_NAMES.request_id}: hidden\r\nAuthorization: Token {KEY}\r\n"
     "Content-Length: 0\r\n\r\n"
 )
 # Each is ambiguous about where the request ends (request smuggling).
@@ -61,7 +61,7 @@
 @pytest.mark.parametrize("name", SMUGGLED)
 def test_ambiguous_framing_is_refused(name: str) -> None:
     async def test() -> None:
-        stand_in = ReplicaStandIn("plain-0", "plain", NAMES)
+        stand_in = ReplicaStandIn("plain-0", "plain", HEADER_NAMES)
         async with RelayHarness([stand_in]) as world:
             world.configure()
             data = (GOOD % "open") + SMUGGLED[name] + HIDDEN
@@ -87,7 +87,7 @@
 )
 def test_an_invalid_request_line_reaches_no_upstream(line: str) -> None:
     async def test() -> None:
-        stand_in = ReplicaStandIn("plain-0", "plain", NAMES)
+        stand_in = ReplicaStandIn("plain-0", "plain", HEADER_NAMES)
         async with RelayHarness([stand_in]) as world:
             world.configure()
             await send(world, f"{line}\r\nHost: {HOST}\r\n\r\n".encode())
@@ -100,7 +100,7 @@
 
 def test_an_upgrade_is_not_forwarded() -> None:
     async def test() -> None:
-        stand_in = ReplicaStandIn("plain-0", "plain", NAMES)
+        stand_in = ReplicaStandIn("plain-0", "plain", HEADER_NAMES)
         async with RelayHarness([stand_in]) as world:
             world.configure()
             answer = await world.call(
@@ -134,7 +134,7 @@
         data = data[:at] + new + data[at + removed :]
 
     async def test() -> None:
-        stand_in = ReplicaStandIn("plain-0", "plain", NAMES)
+        stand_in = ReplicaStandIn("plain-0", "plain", HEADER_NAMES)
         async with RelayHarness([stand_in]) as world:
             world.configure()
             await send(world, data)
--- a/tests/test_relay_generations.py
+++ b/tests/test_relay_generations.py
@@ -15,7 +15,7 @@
 
 from balsamlift.relay._attempt import MAX_UNREACHABLE_UPSTREAMS
 from balsamlift.testing.relay import (
-    NAMES,
+    HEADER_NAMES,
     CallerAnswer,
     RelayHarness,
     ReplicaConnection,
@@ -34,7 +34,9 @@
 
 
 def engines(n: int = 2) -> list[ReplicaStandIn]:
-    return [ReplicaStandIn(f"model-{i}", "model", NAMES) for i in range(n)]
+    return [
+        ReplicaStandIn(f"model-{i}", "model", HEADER_NAMES) for i in range(n)
+    ]
 
 
 async def break_midway(
@@ -84,9 +86,12 @@
         (other,) = [s for s in stand_ins if s is not used]
         (sent,) = used.arrivals
         (resumed,) = other.arrivals
-        assert sent.headers[NAMES.backup_address] == other.address
-        assert resumed.headers[NAMES.resume_source] == f"{other.address}/r1"
-        assert resumed.headers[NAMES.last_event_id] == "4"
+        assert sent.headers[HEADER_NAMES.backup_address] == other.address
+        assert (
+            resumed.headers[HEADER_NAMES.resume_source]
+            == f"{other.address}/r1"
+        )
+        assert resumed.headers[HEADER_NAMES.last_event_id] == "4"
         assert answer.is_whole
         assert answer.body == event_stream()
 
@@ -123,7 +128,7 @@
         async with RelayHarness(stand_ins) as world:
             world.configure()
             calling, used = await begin_call(world, stand_ins)
-            backup = used.arrivals[0].headers[NAMES.backup_address]
+            backup = used.arrivals[0].headers[HEADER_NAMES.backup_address]
             stopped = asyncio.Event()
             world.engines.stop_events.append(stopped)
 
@@ -131,7 +136,9 @@
                 connection: ReplicaConnection, request: ReplicaRequest
             ) -> None:
                 if connection.names.resume_source in request.headers and (
-                    request.headers[NAMES.resume_source].startswith(backup)
+                    request.headers[HEADER_NAMES.resume_source].startswith(
+                        backup
+                    )
                 ):
                     await connection.refuse(request)
                 else:
@@ -222,7 +229,8 @@
         async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call(
-                "/draft/1", headers=[*USAGE, f"{NAMES.deadline_ms}: 300"]
+                "/draft/1",
+                headers=[*USAGE, f"{HEADER_NAMES.deadline_ms}: 300"],
             )
         assert answer.status in (502, 504)
         assert sum(len(s.arrivals) for s in stand_ins) == 1
@@ -286,14 +294,17 @@
     async def slow(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
-        started.append(request.headers[NAMES.request_id])
+        started.append(request.headers[HEADER_NAMES.request_id])
         await go_on.wait()
         await stream(connection, request)
 
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = slow
-        full = [f"{NAMES.token_usage}: 8000,500", f"{NAMES.length_hint}: 100"]
+        full = [
+            f"{HEADER_NAMES.token_usage}: 8000,500",
+            f"{HEADER_NAMES.length_hint}: 100",
+        ]
         async with RelayHarness(stand_ins) as world:
             world.configure()
             first = asyncio.create_task(
@@ -315,7 +326,10 @@
 
 
 def test_a_leaving_host_starts_only_what_it_can_finish() -> None:
-    long = [f"{NAMES.token_usage}: 1000,2000", f"{NAMES.length_hint}: 900"]
+    long = [
+        f"{HEADER_NAMES.token_usage}: 1000,2000",
+        f"{HEADER_NAMES.length_hint}: 900",
+    ]
 
     async def test() -> None:
         stand_ins = engines(1)
@@ -362,7 +376,7 @@
     async def late(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
-        if NAMES.resume_source in request.headers:
+        if HEADER_NAMES.resume_source in request.headers:
             await stream(connection, request)
             return
         await begin.wait()
@@ -430,14 +444,17 @@
     async def slow(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
-        if request.headers[NAMES.request_id] == "full":
+        if request.headers[HEADER_NAMES.request_id] == "full":
             await go_on.wait()
         await stream(connection, request)
 
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = slow
-        full = [f"{NAMES.token_usage}: 8000,500", f"{NAMES.length_hint}: 100"]
+        full = [
+            f"{HEADER_NAMES.token_usage}: 8000,500",
+            f"{HEADER_NAMES.length_hint}: 100",
+        ]
         async with RelayHarness(stand_ins) as world:
             world.configure()
             reader, writer = await world.connect()
@@ -476,7 +493,10 @@
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = slow
-        full = [f"{NAMES.token_usage}: 8000,500", f"{NAMES.length_hint}: 100"]
+        full = [
+            f"{HEADER_NAMES.token_usage}: 8000,500",
+            f"{HEADER_NAMES.length_hint}: 100",
+        ]
         async with RelayHarness(stand_ins) as world:
             world.configure()
             first = asyncio.create_task(
--- a/tests/test_relay_incarnations.py
+++ b/tests/test_relay_incarnations.py
@@ -17,7 +17,7 @@
 )
 
 from balsamlift.testing.relay import (
-    NAMES,
+    HEADER_NAMES,
     RelayHarness,
     ReplicaStandIn,
     event,
@@ -36,7 +36,7 @@
 
 def test_an_idle_connection_is_not_reused_after_a_restart() -> None:
     async def test() -> None:
-        replica = ReplicaStandIn("plain-1", "plain", NAMES)
+        replica = ReplicaStandIn("plain-1", "plain", HEADER_NAMES)
         replica.started_ms = FIRST_MS
         async with RelayHarness([replica]) as world:
             world.configure()
@@ -50,7 +50,8 @@
             assert answer.status == 200
             assert replica.connections == 2
             expected = {
-                r.headers[NAMES.expected_incarnation] for r in replica.arrivals
+                r.headers[HEADER_NAMES.expected_incarnation]
+                for r in replica.arrivals
             }
             assert expected == {"plain-1"}
 
@@ -59,7 +60,7 @@
 
 def test_a_restart_clears_the_leaving_state() -> None:
     async def test() -> None:
-        replica = ReplicaStandIn("plain-1", "plain", NAMES)
+        replica = ReplicaStandIn("plain-1", "plain", HEADER_NAMES)
         replica.started_ms = FIRST_MS
         async with RelayHarness([replica]) as world:
             world.configure()
@@ -78,7 +79,7 @@
 ) -> None:
     """Restart the engine of a generation, which must still complete."""
     stand_ins = [
-        ReplicaStandIn(f"model-{i}", "model", NAMES) for i in range(2)
+        ReplicaStandIn(f"model-{i}", "model", HEADER_NAMES) for i in range(2)
     ]
     for stand_in in stand_ins:
         stand_in.behave = hang_midway
--- a/tests/test_relay_leaving_load.py
+++ b/tests/test_relay_leaving_load.py
@@ -20,7 +20,7 @@
     Service,
 )
 from balsamlift.testing.relay import (
-    NAMES,
+    HEADER_NAMES,
     CallerAnswer,
     RelayHarness,
     ReplicaConnection,
@@ -40,7 +40,10 @@
     can_move=True,
 )
 REPORT_LAG_S = 0.5
-USAGE = [f"{NAMES.token_usage}: 900,120", f"{NAMES.length_hint}: 100"]
+USAGE = [
+    f"{HEADER_NAMES.token_usage}: 900,120",
+    f"{HEADER_NAMES.length_hint}: 100",
+]
 
 
 class LeavingEngine:
@@ -65,10 +68,10 @@
         self, connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
         """Generate without an end, or complete a resumed generation."""
-        request_id = request.headers[NAMES.request_id]
+        request_id = request.headers[HEADER_NAMES.request_id]
         await connection.begin_stream(request)
-        if NAMES.resume_source in request.headers:
-            first = int(request.headers[NAMES.last_event_id]) + 1
+        if HEADER_NAMES.resume_source in request.headers:
+            first = int(request.headers[HEADER_NAMES.last_event_id]) + 1
             await connection.events(first, LAST_EVENT_ID)
             await connection.end_stream()
             return
@@ -115,7 +118,7 @@
 async def leave(running: int, ended: int) -> list[CallerAnswer]:
     """Let an engine with `running` generations leave; return the answers."""
     first, second = (
-        ReplicaStandIn(f"model-{i}", "model", NAMES) for i in range(2)
+        ReplicaStandIn(f"model-{i}", "model", HEADER_NAMES) for i in range(2)
     )
     async with RelayHarness([first]) as world:
         engine = LeavingEngine(world, [f"e{n}" for n in range(ended)])
--- a/tests/test_relay_regions.py
+++ b/tests/test_relay_regions.py
@@ -12,9 +12,9 @@
 from balsamlift.relay import Caller, Directory, Workspace
 from balsamlift.relay._scope import intersect_regions
 from balsamlift.testing.relay import (
+    HEADER_NAMES,
     HOST,
     KEY,
-    NAMES,
     WORKSPACE,
     RelayHarness,
     ReplicaStandIn,
@@ -58,7 +58,9 @@
     async def test() -> None:
         pool = "model" if kind == "stream" else "plain"
         stand_ins = [
-            ReplicaStandIn(f"i-{domain}", pool, NAMES, failure_domain=domain)
+            ReplicaStandIn(
+                f"i-{domain}", pool, HEADER_NAMES, failure_domain=domain
+            )
             for domain in ("north", "isle", "far")
         ]
         if kind == "stream":
--- a/tests/test_relay_routing.py
+++ b/tests/test_relay_routing.py
@@ -16,9 +16,9 @@
 from balsamlift.relay._request import Call, CallerRequest, Refusal
 from balsamlift.relay._routing import Routing, compile_table, pick_service
 from balsamlift.testing.relay import (
+    HEADER_NAMES,
     HOST,
     KEY,
-    NAMES,
     WORKSPACE,
     configuration,
     route,
@@ -34,8 +34,8 @@
 def request(path: str, host: str = HOST, key: str = KEY) -> CallerRequest:
     headers = HTTPHeaders()
     headers.add("Host", host)
-    headers.add(NAMES.request_id, "r1")
-    headers.add(NAMES.deadline_ms, "1000")
+    headers.add(HEADER_NAMES.request_id, "r1")
+    headers.add(HEADER_NAMES.deadline_ms, "1000")
     if key:
         headers.add("Authorization", f"Token {key}")
     return CallerRequest(
@@ -44,7 +44,7 @@
 
 
 def admit(routing: Routing, path: str, **fields: str) -> Call | Refusal:
-    admission = Admission(routing, NAMES, random.Random(1))
+    admission = Admission(routing, HEADER_NAMES, random.Random(1))
     return admission.admit(request(path, **fields))
 
 
@@ -155,7 +155,7 @@
 ) -> None:
     routing = Routing()
     offer_version(routing, 1)
-    admission = Admission(routing, NAMES, random.Random(1))
+    admission = Admission(routing, HEADER_NAMES, random.Random(1))
     call = admission.admit(request("/order/1"))
     assert isinstance(call, Call)
     offer_version(routing, 2, **later)
@@ -168,11 +168,11 @@
 def test_retry_after_without_a_configuration_is_within_the_deadline(
     deadline_ms: str, wait_ms: int
 ) -> None:
-    admission = Admission(Routing(), NAMES, random.Random(1))
+    admission = Admission(Routing(), HEADER_NAMES, random.Random(1))
     asked = request("/order/1")
-    del asked.headers[NAMES.deadline_ms]
+    del asked.headers[HEADER_NAMES.deadline_ms]
     if deadline_ms:
-        asked.headers.add(NAMES.deadline_ms, deadline_ms)
+        asked.headers.add(HEADER_NAMES.deadline_ms, deadline_ms)
     refusal = admission.admit(asked)
     assert isinstance(refusal, Refusal)
     assert (refusal.status, refusal.retry_after_ms) == (503, wait_ms)
--- a/tests/test_relay_token_estimate.py
+++ b/tests/test_relay_token_estimate.py
@@ -4,7 +4,7 @@
 from tornado.httputil import HTTPHeaders
 
 from balsamlift.relay._token_estimate import read_token_estimate
-from balsamlift.testing.relay import NAMES
+from balsamlift.testing.relay import HEADER_NAMES
 
 # Length hints and actual lengths of answers limited to 2,224 tokens.
 MOST = 2_224
@@ -34,7 +34,7 @@
 
 
 def headers(usage: str = "", hint: str = "") -> HTTPHeaders:
-    fields = {NAMES.token_usage: usage, NAMES.length_hint: hint}
+    fields = {HEADER_NAMES.token_usage: usage, HEADER_NAMES.length_hint: hint}
     return HTTPHeaders({name: text for name, text in fields.items() if text})
 
 
@@ -51,7 +51,7 @@
     ],
 )
 def test_reads_the_estimate_from_headers(usage, hint, expected) -> None:
-    need = read_token_estimate(headers(usage, hint), NAMES)
+    need = read_token_estimate(headers(usage, hint), HEADER_NAMES)
     assert (need.prompt_tokens, need.output_tokens) == expected
 
 
@@ -62,7 +62,7 @@
     ours = [
         error(
             read_token_estimate(
-                headers(f"1,{MOST}", str(h)), NAMES
+                headers(f"1,{MOST}", str(h)), HEADER_NAMES
             ).output_tokens,
             n,
         )
@@ -75,7 +75,9 @@
 
 def test_the_sum_of_estimates_is_close_to_the_actual_sum() -> None:
     expected = sum(
-        read_token_estimate(headers(f"1,{MOST}", str(h)), NAMES).output_tokens
+        read_token_estimate(
+            headers(f"1,{MOST}", str(h)), HEADER_NAMES
+        ).output_tokens
         for h, _ in HINTED
     )
     actual = sum(n for _, n in HINTED)
--- a/tests/test_relay_unary.py
+++ b/tests/test_relay_unary.py
@@ -8,9 +8,9 @@
 
 from balsamlift.relay import Caller
 from balsamlift.testing.relay import (
+    HEADER_NAMES,
     HOST,
     KEY,
-    NAMES,
     WORKSPACE,
     RelayHarness,
     ReplicaConnection,
@@ -23,7 +23,9 @@
 
 
 def replicas(n: int = 2) -> list[ReplicaStandIn]:
-    return [ReplicaStandIn(f"plain-{i}", "plain", NAMES) for i in range(n)]
+    return [
+        ReplicaStandIn(f"plain-{i}", "plain", HEADER_NAMES) for i in range(n)
+    ]
 
 
 def all_arrivals(stand_ins: list[ReplicaStandIn]) -> list[str]:
@@ -76,15 +78,15 @@
         (arrived,) = stand_ins[0].arrivals
         assert answer.status == 200
         assert answer.body == b"done"
-        assert answer.headers[NAMES.signature] == "signed-r1"
+        assert answer.headers[HEADER_NAMES.signature] == "signed-r1"
         assert arrived.target == "/order/7?a=%20b&c"
         assert arrived.body == b"two bytes\x00"
         assert arrived.headers["X-Own"] == "kept"
         assert arrived.headers["Host"] == HOST
-        assert arrived.headers.get_list(NAMES.workspace) == [WORKSPACE]
-        assert NAMES.priority not in arrived.headers
+        assert arrived.headers.get_list(HEADER_NAMES.workspace) == [WORKSPACE]
+        assert HEADER_NAMES.priority not in arrived.headers
         assert "Authorization" not in arrived.headers
-        assert 0 < int(arrived.headers[NAMES.deadline_ms]) <= 3_000
+        assert 0 < int(arrived.headers[HEADER_NAMES.deadline_ms]) <= 3_000
 
     run(test())
 
@@ -104,7 +106,7 @@
             answer = await world.call("/order/1")
         assert answer.status == 502
         assert "Retry-After" not in answer.headers
-        assert NAMES.signature not in answer.headers
+        assert HEADER_NAMES.signature not in answer.headers
         assert all_arrivals(stand_ins) == ["r1"]
 
     run(test())
@@ -132,7 +134,7 @@
     async def answer_then_close(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
-        if request.headers[NAMES.request_id] == "r2":
+        if request.headers[HEADER_NAMES.request_id] == "r2":
             connection.reset()
             return
         await connection.answer(request, b"done")
@@ -166,7 +168,7 @@
             for n in range(3):
                 answer = await world.call(f"/order/{n}", f"r{n}")
                 assert answer.body == b"first"
-                assert answer.headers[NAMES.request_id] == f"r{n}"
+                assert answer.headers[HEADER_NAMES.request_id] == f"r{n}"
                 await asyncio.sleep(0.03 * n)
 
     run(test())
@@ -184,7 +186,7 @@
             answer = await world.call("/order/1")
         assert answer.status == 503
         assert float(answer.headers["Retry-After"]) >= 0
-        assert NAMES.signature not in answer.headers
+        assert HEADER_NAMES.signature not in answer.headers
 
     run(test())
 
@@ -198,7 +200,7 @@
             world.configure()
             answer = await world.call("/order/1")
         assert (answer.status, answer.body) == (500, b"broken")
-        assert answer.headers[NAMES.signature] == "signed-r1"
+        assert answer.headers[HEADER_NAMES.signature] == "signed-r1"
         assert all_arrivals(stand_ins) == ["r1"]
 
     run(test())
@@ -342,7 +344,7 @@
                 writer.write(request_bytes(f"/order/{n}", f"r{n}"))
             for n in range(3):
                 answer = await read_answer(reader)
-                assert answer.headers[NAMES.request_id] == f"r{n}"
+                assert answer.headers[HEADER_NAMES.request_id] == f"r{n}"
             writer.close()
 
     run(test())
