--- a/src/balsamlift/testing/_experiment.py
+++ b/src/balsamlift/testing/_experiment.py
@@ -29,7 +29,7 @@
 SLOW_FACTOR = 6.0
 RECLAIM_NOTICE_MS = 3_000.0
 CROWD_FACTOR = 10.0
-CROWD_WORKSPACE = workspace_name(9)  # one of the smallest weight
+CROWD_WORKSPACE = workspace_name(9)  # one of those with the smallest weight
 
 FAULTS = ("none", "slow", "reclaimed", "domain", "crowd")
 
--- a/src/balsamlift/testing/_keyed_store.py
+++ b/src/balsamlift/testing/_keyed_store.py
@@ -91,7 +91,8 @@
     def restore(self, record_count: int) -> None:
         """Restore the first `record_count` records of each topic.
 
-        The store then begins a new era. Topics whose history was dropped
+        This acts like the restore of an older backup: the store begins a
+        new era and later records are lost. Topics whose history was dropped
         by `drop_history` are not supported.
         """
         assert isinstance(self.era, int)
--- a/src/balsamlift/testing/_platform.py
+++ b/src/balsamlift/testing/_platform.py
@@ -132,7 +132,10 @@
         await self._platform.clock.sleep(FOREVER_S)
 
     async def refuse_if_down(self) -> bool:
-        """Return whether the log is down or silent, after refusing."""
+        """Refuse a call if the log is down or silent; return whether it is.
+
+        A silent log delays the refusal for longer than any caller waits.
+        """
         faults = self._platform.faults
         if faults.silent:
             await self.withhold()
--- a/src/balsamlift/testing/_prefix_cache.py
+++ b/src/balsamlift/testing/_prefix_cache.py
@@ -39,7 +39,7 @@
         return len(self._entries) * self._blocks_per_prefix
 
     def acquire(self, name: str) -> None:
-        """Add a reference that protects a prefix, new if missing."""
+        """Protect a prefix from eviction, adding it if it is missing."""
         if not name:
             return
         entry = self._entries.setdefault(name, _Entry())
--- a/src/balsamlift/testing/_process.py
+++ b/src/balsamlift/testing/_process.py
@@ -94,14 +94,15 @@
     def wait_ready(self, timeout_s: float = READY_S) -> dict[str, Any]:
         """Wait for the ready line and return it.
 
-        Raises `ProcessError` if the process ends or the time is over first.
+        Raises `ProcessError` if the process ends first or is not ready in
+        `timeout_s`.
         """
         with self._changed:
             self._changed.wait_for(self._is_ready_or_ended, timeout_s)
         if self._ready is not None:
             return self._ready
         ended = not self._open_outputs
-        reason = "ended before it was ready" if ended else "silent"
+        reason = "ended before it was ready" if ended else "not ready in time"
         raise ProcessError(self.name, reason, self.output)
 
     def terminate(self) -> None:
--- a/src/balsamlift/testing/_rate_limits.py
+++ b/src/balsamlift/testing/_rate_limits.py
@@ -4,7 +4,7 @@
 
 from balsamlift.clock import Clock
 
-_BURST_S = 0.25  # the bucket holds this many seconds of appends
+_BURST_S = 0.25  # the bucket saves up this many seconds of appends
 _MAX_WAITING_LOADS = 2  # loads that may wait before the answer is 429
 
 
@@ -43,7 +43,8 @@
     def reserve(self) -> float | None:
         """Return the seconds until a load is done; none if the queue is full.
 
-        The queue is full if `_MAX_WAITING_LOADS` loads would start before.
+        The queue is full if this load would have to wait for longer than
+        `_MAX_WAITING_LOADS` loads take.
         """
         now = self._clock.monotonic()
         start = max(now, self._free_at)
--- a/src/balsamlift/testing/_relay_harness.py
+++ b/src/balsamlift/testing/_relay_harness.py
@@ -135,7 +135,7 @@
     async def read(self) -> list[ListEntry] | None:
         """Return an entry for each replica."""
         if self.is_down:
-            raise HostsUnavailableError("out of reach")
+            raise HostsUnavailableError("list of hosts is unreachable")
         return [replica.entry() for replica in self.replicas]
 
 
