--- a/src/balsamlift/testing/relay.py
+++ b/src/balsamlift/testing/relay.py
@@ -1,13 +1,13 @@
-"""A relay among stand-ins, for tests of what callers and upstreams see."""
+"""Relay harness with stand-ins, for tests of the relay's HTTP behaviour."""
 
-from balsamlift.testing._relay_world import (
+from balsamlift.testing._relay_harness import (
+    HEADER_NAMES,
     HOST,
     KEY,
     LIMITS,
-    NAMES,
     WORKSPACE,
     CallerAnswer,
-    RelayWorld,
+    RelayHarness,
     StandInEngines,
     configuration,
     read_answer,
@@ -22,13 +22,13 @@
 )
 
 __all__ = [
+    "HEADER_NAMES",
     "HOST",
     "KEY",
     "LIMITS",
-    "NAMES",
     "WORKSPACE",
     "CallerAnswer",
-    "RelayWorld",
+    "RelayHarness",
     "ReplicaConnection",
     "ReplicaRequest",
     "ReplicaStandIn",
--- a/tests/test_relay_generations.py
+++ b/tests/test_relay_generations.py
@@ -15,9 +15,9 @@
 
 from balsamlift.relay._attempt import MAX_UNREACHABLE_UPSTREAMS
 from balsamlift.testing.relay import (
-    NAMES,
+    HEADER_NAMES,
     CallerAnswer,
-    RelayWorld,
+    RelayHarness,
     ReplicaConnection,
     ReplicaRequest,
     ReplicaStandIn,
@@ -34,7 +34,9 @@
 
 
 def engines(n: int = 2) -> list[ReplicaStandIn]:
-    return [ReplicaStandIn(f"model-{i}", "model", NAMES) for i in range(n)]
+    return [
+        ReplicaStandIn(f"model-{i}", "model", HEADER_NAMES) for i in range(n)
+    ]
 
 
 async def break_midway(
@@ -48,7 +50,7 @@
 
 
 async def begin_call(
-    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+    world: RelayHarness, stand_ins: list[ReplicaStandIn]
 ) -> tuple[asyncio.Task[CallerAnswer], ReplicaStandIn]:
     """Start a generation; return the call and the engine that runs it."""
     calling = asyncio.create_task(world.call("/draft/1", headers=USAGE))
@@ -60,7 +62,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = stream
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/draft/1", headers=USAGE)
         assert answer.status == 200
@@ -75,7 +77,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = break_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling, used = await begin_call(world, stand_ins)
             for stand_in in stand_ins:
@@ -84,9 +86,12 @@
         (other,) = [s for s in stand_ins if s is not used]
         (sent,) = used.arrivals
         (resumed,) = other.arrivals
-        assert sent.headers[NAMES.backup_address] == other.address
-        assert resumed.headers[NAMES.resume_source] == f"{other.address}/r1"
-        assert resumed.headers[NAMES.last_event_id] == "4"
+        assert sent.headers[HEADER_NAMES.backup_address] == other.address
+        assert (
+            resumed.headers[HEADER_NAMES.resume_source]
+            == f"{other.address}/r1"
+        )
+        assert resumed.headers[HEADER_NAMES.last_event_id] == "4"
         assert answer.is_whole
         assert answer.body == event_stream()
 
@@ -98,7 +103,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = hang_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling, used = await begin_call(world, stand_ins)
             for stand_in in stand_ins:
@@ -120,18 +125,20 @@
         stand_ins = engines(3)
         for stand_in in stand_ins:
             stand_in.behave = hang_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling, used = await begin_call(world, stand_ins)
-            backup = used.arrivals[0].headers[NAMES.backup_address]
+            backup = used.arrivals[0].headers[HEADER_NAMES.backup_address]
             stopped = asyncio.Event()
-            world.engines.on_stop.append(stopped)
+            world.engines.stop_events.append(stopped)
 
             async def refuse(
                 connection: ReplicaConnection, request: ReplicaRequest
             ) -> None:
                 if connection.names.resume_source in request.headers and (
-                    request.headers[NAMES.resume_source].startswith(backup)
+                    request.headers[HEADER_NAMES.resume_source].startswith(
+                        backup
+                    )
                 ):
                     await connection.refuse(request)
                 else:
@@ -156,7 +163,7 @@
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = break_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/draft/1", headers=USAGE)
         assert not answer.is_whole
@@ -178,7 +185,7 @@
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = repeat
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/draft/1", headers=USAGE)
         assert not answer.is_whole
@@ -192,7 +199,7 @@
         stand_ins = engines()
         stand_ins[0].behave = refuse
         stand_ins[1].behave = stream
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             # Requests fill the retry budget.
             for n in range(10):
@@ -219,10 +226,11 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = lose
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call(
-                "/draft/1", headers=[*USAGE, f"{NAMES.deadline_ms}: 300"]
+                "/draft/1",
+                headers=[*USAGE, f"{HEADER_NAMES.deadline_ms}: 300"],
             )
         assert answer.status in (502, 504)
         assert sum(len(s.arrivals) for s in stand_ins) == 1
@@ -235,7 +243,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = hang_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             _, writer = await world.connect()
             writer.write(request_bytes("/draft/1", headers=USAGE))
@@ -260,7 +268,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = hang_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             for n in range(DISCONNECTING_CALLERS):
                 _, writer = await world.connect()
@@ -286,15 +294,18 @@
     async def slow(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
-        started.append(request.headers[NAMES.request_id])
+        started.append(request.headers[HEADER_NAMES.request_id])
         await go_on.wait()
         await stream(connection, request)
 
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = slow
-        full = [f"{NAMES.token_usage}: 8000,500", f"{NAMES.length_hint}: 100"]
-        async with RelayWorld(stand_ins) as world:
+        full = [
+            f"{HEADER_NAMES.token_usage}: 8000,500",
+            f"{HEADER_NAMES.length_hint}: 100",
+        ]
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             first = asyncio.create_task(
                 world.call("/draft/1", "first", headers=full)
@@ -315,12 +326,15 @@
 
 
 def test_a_leaving_host_starts_only_what_it_can_finish() -> None:
-    long = [f"{NAMES.token_usage}: 1000,2000", f"{NAMES.length_hint}: 900"]
+    long = [
+        f"{HEADER_NAMES.token_usage}: 1000,2000",
+        f"{HEADER_NAMES.length_hint}: 900",
+    ]
 
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = stream
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             world.relay.leave(within_s=7.0)
             refused = await world.call("/draft/1", "r1", headers=long)
@@ -339,19 +353,19 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = hang_midway
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling, used = await begin_call(world, stand_ins)
             for stand_in in stand_ins:
                 stand_in.behave = stream
-            assert world.engines.asked == []
+            assert world.engines.report_calls == []
             world.list.is_down = True
             world.engines.leaving.add(used.name)
             answer = await calling
             assert answer.is_whole
             assert answer.body == event_stream()
             assert world.upstreams.find(used.name).state == "leaving"
-        assert set(world.engines.asked) == {used.name}
+        assert set(world.engines.report_calls) == {used.name}
 
     run(test())
 
@@ -362,7 +376,7 @@
     async def late(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
-        if NAMES.resume_source in request.headers:
+        if HEADER_NAMES.resume_source in request.headers:
             await stream(connection, request)
             return
         await begin.wait()
@@ -372,7 +386,7 @@
         stand_ins = engines()
         for stand_in in stand_ins:
             stand_in.behave = late
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling, used = await begin_call(world, stand_ins)
             used.state = "leaving"
@@ -400,7 +414,7 @@
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = hang_then_reset
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             calling = asyncio.create_task(
                 world.call("/draft/1", headers=USAGE)
@@ -430,15 +444,18 @@
     async def slow(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
-        if request.headers[NAMES.request_id] == "full":
+        if request.headers[HEADER_NAMES.request_id] == "full":
             await go_on.wait()
         await stream(connection, request)
 
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = slow
-        full = [f"{NAMES.token_usage}: 8000,500", f"{NAMES.length_hint}: 100"]
-        async with RelayWorld(stand_ins) as world:
+        full = [
+            f"{HEADER_NAMES.token_usage}: 8000,500",
+            f"{HEADER_NAMES.length_hint}: 100",
+        ]
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             reader, writer = await world.connect()
             if reused:
@@ -476,8 +493,11 @@
     async def test() -> None:
         stand_ins = engines(1)
         stand_ins[0].behave = slow
-        full = [f"{NAMES.token_usage}: 8000,500", f"{NAMES.length_hint}: 100"]
-        async with RelayWorld(stand_ins) as world:
+        full = [
+            f"{HEADER_NAMES.token_usage}: 8000,500",
+            f"{HEADER_NAMES.length_hint}: 100",
+        ]
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             first = asyncio.create_task(
                 world.call("/draft/1", "full", headers=full)
@@ -505,7 +525,7 @@
         stand_ins = engines(4)
         for stand_in in stand_ins:
             stand_in.behave = stream
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             # Load makes the live engine the last choice.
             world.relay._balancer.add(stand_ins[3].name, 5_000)
@@ -521,7 +541,7 @@
 def test_failed_connection_attempts_are_limited() -> None:
     async def test() -> None:
         stand_ins = engines(MAX_UNREACHABLE_UPSTREAMS + 1)
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             last = stand_ins[MAX_UNREACHABLE_UPSTREAMS]
             world.relay._balancer.add(last.name, 5_000)
--- a/tests/test_relay_regions.py
+++ b/tests/test_relay_regions.py
@@ -12,11 +12,11 @@
 from balsamlift.relay import Caller, Directory, Workspace
 from balsamlift.relay._scope import intersect_regions
 from balsamlift.testing.relay import (
+    HEADER_NAMES,
     HOST,
     KEY,
-    NAMES,
     WORKSPACE,
-    RelayWorld,
+    RelayHarness,
     ReplicaStandIn,
     route,
 )
@@ -58,7 +58,9 @@
     async def test() -> None:
         pool = "model" if kind == "stream" else "plain"
         stand_ins = [
-            ReplicaStandIn(f"i-{domain}", pool, NAMES, failure_domain=domain)
+            ReplicaStandIn(
+                f"i-{domain}", pool, HEADER_NAMES, failure_domain=domain
+            )
             for domain in ("north", "isle", "far")
         ]
         if kind == "stream":
@@ -68,7 +70,7 @@
         workspace = Workspace(
             name=WORKSPACE, keys=(KEY,), regions=frozenset(workspace_regions)
         )
-        async with RelayWorld(stand_ins, regions=REGIONS) as world:
+        async with RelayHarness(stand_ins, regions=REGIONS) as world:
             world.configure(routes=(bound,), workspaces=(workspace,))
             calls = [
                 world.call("/a/1", f"r{n}", headers=USAGE)
--- a/tests/test_relay_unary.py
+++ b/tests/test_relay_unary.py
@@ -8,11 +8,11 @@
 
 from balsamlift.relay import Caller
 from balsamlift.testing.relay import (
+    HEADER_NAMES,
     HOST,
     KEY,
-    NAMES,
     WORKSPACE,
-    RelayWorld,
+    RelayHarness,
     ReplicaConnection,
     ReplicaRequest,
     ReplicaStandIn,
@@ -23,7 +23,9 @@
 
 
 def replicas(n: int = 2) -> list[ReplicaStandIn]:
-    return [ReplicaStandIn(f"plain-{i}", "plain", NAMES) for i in range(n)]
+    return [
+        ReplicaStandIn(f"plain-{i}", "plain", HEADER_NAMES) for i in range(n)
+    ]
 
 
 def all_arrivals(stand_ins: list[ReplicaStandIn]) -> list[str]:
@@ -66,7 +68,7 @@
 def test_forwards_the_request_unchanged() -> None:
     async def test() -> None:
         stand_ins = replicas(1)
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call(
                 "/order/7?a=%20b&c",
@@ -76,15 +78,15 @@
         (arrived,) = stand_ins[0].arrivals
         assert answer.status == 200
         assert answer.body == b"done"
-        assert answer.headers[NAMES.signature] == "signed-r1"
+        assert answer.headers[HEADER_NAMES.signature] == "signed-r1"
         assert arrived.target == "/order/7?a=%20b&c"
         assert arrived.body == b"two bytes\x00"
         assert arrived.headers["X-Own"] == "kept"
         assert arrived.headers["Host"] == HOST
-        assert arrived.headers.get_list(NAMES.workspace) == [WORKSPACE]
-        assert NAMES.priority not in arrived.headers
+        assert arrived.headers.get_list(HEADER_NAMES.workspace) == [WORKSPACE]
+        assert HEADER_NAMES.priority not in arrived.headers
         assert "Authorization" not in arrived.headers
-        assert 0 < int(arrived.headers[NAMES.deadline_ms]) <= 3_000
+        assert 0 < int(arrived.headers[HEADER_NAMES.deadline_ms]) <= 3_000
 
     run(test())
 
@@ -99,12 +101,12 @@
         stand_ins = replicas()
         for stand_in in stand_ins:
             stand_in.behave = behave
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/order/1")
         assert answer.status == 502
         assert "Retry-After" not in answer.headers
-        assert NAMES.signature not in answer.headers
+        assert HEADER_NAMES.signature not in answer.headers
         assert all_arrivals(stand_ins) == ["r1"]
 
     run(test())
@@ -117,7 +119,7 @@
     async def test() -> None:
         stand_ins = replicas()
         stand_ins[0].behave = behave
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             for n in range(4):
                 answer = await world.call(f"/view/{n}", f"r{n}", method="GET")
@@ -132,7 +134,7 @@
     async def answer_then_close(
         connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
-        if request.headers[NAMES.request_id] == "r2":
+        if request.headers[HEADER_NAMES.request_id] == "r2":
             connection.reset()
             return
         await connection.answer(request, b"done")
@@ -140,7 +142,7 @@
     async def test() -> None:
         stand_ins = replicas(1)
         stand_ins[0].behave = answer_then_close
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             assert (await world.call("/order/1", "r1")).status == 200
             assert (await world.call("/order/2", "r2")).status == 502
@@ -161,12 +163,12 @@
     async def test() -> None:
         stand_ins = replicas(1)
         stand_ins[0].behave = answer_twice
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             for n in range(3):
                 answer = await world.call(f"/order/{n}", f"r{n}")
                 assert answer.body == b"first"
-                assert answer.headers[NAMES.request_id] == f"r{n}"
+                assert answer.headers[HEADER_NAMES.request_id] == f"r{n}"
                 await asyncio.sleep(0.03 * n)
 
     run(test())
@@ -177,14 +179,14 @@
         stand_ins = replicas()
         for stand_in in stand_ins:
             stand_in.behave = refuse
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             for n in range(20):
                 await world.call(f"/order/{n}", f"a{n}")
             answer = await world.call("/order/1")
         assert answer.status == 503
         assert float(answer.headers["Retry-After"]) >= 0
-        assert NAMES.signature not in answer.headers
+        assert HEADER_NAMES.signature not in answer.headers
 
     run(test())
 
@@ -194,11 +196,11 @@
         stand_ins = replicas()
         for stand_in in stand_ins:
             stand_in.behave = fail
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/order/1")
         assert (answer.status, answer.body) == (500, b"broken")
-        assert answer.headers[NAMES.signature] == "signed-r1"
+        assert answer.headers[HEADER_NAMES.signature] == "signed-r1"
         assert all_arrivals(stand_ins) == ["r1"]
 
     run(test())
@@ -216,7 +218,7 @@
     async def test() -> None:
         stand_ins = replicas(1)
         stand_ins[0].behave = without_length
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/order/1")
         assert (answer.status, answer.body) == (200, b"as long as it is")
@@ -233,7 +235,7 @@
     async def test() -> None:
         stand_ins = replicas(1)
         stand_ins[0].behave = hang
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure(
                 routes=(
                     route(
@@ -258,7 +260,7 @@
     async def test() -> None:
         stand_ins = replicas(1)
         stand_ins[0].behave = hang
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             _, writer = await world.connect()
             writer.write(request_bytes("/order/1"))
@@ -281,7 +283,7 @@
 ) -> None:
     async def test() -> None:
         stand_ins = replicas(1)
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call(path, key=key)
         assert answer.status == status
@@ -292,7 +294,7 @@
 
 def test_is_not_ready_before_its_first_configuration() -> None:
     async def test() -> None:
-        async with RelayWorld(replicas(1)) as world:
+        async with RelayHarness(replicas(1)) as world:
             answer = await world.call("/nowhere/1", key="unknown")
             assert answer.status == 503
             assert not world.directory.is_ready
@@ -306,7 +308,7 @@
 def test_a_leaving_upstream_gets_no_new_call() -> None:
     async def test() -> None:
         stand_ins = replicas()
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             stand_ins[0].state = "leaving"
             while len(world.upstreams.in_pool("plain")) == 2:
@@ -322,7 +324,7 @@
 def test_an_upstream_with_another_id_runs_nothing() -> None:
     async def test() -> None:
         stand_ins = replicas()
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             # The list is not read again before the call.
             stand_ins[0].name = "reborn"
@@ -335,14 +337,14 @@
 
 def test_responds_to_pipelined_requests_in_order() -> None:
     async def test() -> None:
-        async with RelayWorld(replicas()) as world:
+        async with RelayHarness(replicas()) as world:
             world.configure()
             reader, writer = await world.connect()
             for n in range(3):
                 writer.write(request_bytes(f"/order/{n}", f"r{n}"))
             for n in range(3):
                 answer = await read_answer(reader)
-                assert answer.headers[NAMES.request_id] == f"r{n}"
+                assert answer.headers[HEADER_NAMES.request_id] == f"r{n}"
             writer.close()
 
     run(test())
@@ -350,7 +352,7 @@
 
 def test_tells_callers_to_close_while_leaving() -> None:
     async def test() -> None:
-        async with RelayWorld(replicas()) as world:
+        async with RelayHarness(replicas()) as world:
             world.configure()
             world.frontend.is_closing = True
             answer = await world.call("/order/1")
@@ -363,7 +365,7 @@
 def test_a_body_over_the_limit_is_not_forwarded() -> None:
     async def test() -> None:
         stand_ins = replicas(1)
-        async with RelayWorld(stand_ins) as world:
+        async with RelayHarness(stand_ins) as world:
             world.configure()
             answer = await world.call("/order/1", body=b"x" * 1_000_001)
         assert answer.status == 413
@@ -374,7 +376,7 @@
 
 def test_retry_after_without_an_upstream_is_within_the_deadline() -> None:
     async def test() -> None:
-        async with RelayWorld([]) as world:
+        async with RelayHarness([]) as world:
             world.configure()
             answer = await world.call("/order/1")
         assert answer.status == 503
