--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized run of real daemons under faults from outside them."""
+"""Soak test: real daemons under randomized external faults."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,11 +1,11 @@
-"""Play seeds: soak [--first=SEED] [--length=SECONDS] COUNT.
+"""Run the soak test: soak [--first=SEED] [--length=SECONDS] COUNT.
 
 Usage:
   soak [--first=SEED] [--length=SECONDS] COUNT
 
 Options:
-  --first=SEED      The first seed; by default one that is drawn.
-  --length=SECONDS  How long faults come in one run [default: 10].
+  --first=SEED      The first seed; random by default.
+  --length=SECONDS  How long one run injects faults [default: 10].
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 def main() -> int:
-    """Play the seeds one after the other; return 1 if one breaks."""
+    """Run the seeds in turn; return 1 if any run violates a guarantee."""
     options = docopt(__doc__)
     first = options["--first"] or random.randrange(1_000_000_000)
-    worst = 0
+    exit_code = 0
     for seed in range(int(first), int(first) + int(options["COUNT"])):
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         result = asyncio.run(
@@ -35,13 +35,13 @@
         print(
             f"seed {seed} ({kind}): {len(result.plan.faults)} faults, "
             f"{result.served} of {result.requests} served, "
-            f"{len(result.broken)} promises broken",
+            f"{len(result.violations)} promises broken",
             flush=True,
         )
-        for line in result.broken:
+        for line in result.violations:
             print(f"  {line}  (logs in {folder})", flush=True)
-            worst = 1
-    return worst
+            exit_code = 1
+    return exit_code
 
 
 if __name__ == "__main__":
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers who ask where to connect, keep connections and note answers."""
+"""Callers that look up addresses, reuse connections and record answers."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 from balsamlift.platform._names import ADDRESSES_PATH, HEADERS
 from balsamlift.testing.relay import read_answer
-from soak.configuration import KEY, SERVED_HOST
+from soak.configuration import SERVED_HOST, STABLE_KEY
+from soak.guarantees import CallerOutcome, GuaranteeChecker
 from soak.hosts import Host
-from soak.promises import Promises, Told
 
 DEADLINE_MS = 3_000
 PATHS = {"idempotent": "/view/", "non_idempotent": "/order/"}
 STREAM_PATH = "/draft/"
-LONGEST_REST_S = 0.1
-REQUESTS_A_CONNECTION = 6
+MAX_PAUSE_S = 0.1
+REQUESTS_PER_CONNECTION = 6
 CONNECT_S = 1.0
 
 
 @attrs.frozen
-class Ask:
-    """Hold one request before it is sent."""
+class CallerRequest:
+    """One request of a caller."""
 
     request_id: str
     kind: str
 
     @property
     def is_idempotent(self) -> bool:
-        """Tell whether it may run more than once."""
+        """Return whether the request may be executed more than once."""
         return self.kind == "idempotent"
 
-    def data(self, key: str, path: str = "") -> bytes:
-        """Return the request as bytes."""
+    def encode(self, key: str, path: str = "") -> bytes:
+        """Return the encoded HTTP request."""
         method = "GET" if self.is_idempotent else "POST"
         path = path or PATHS.get(self.kind, STREAM_PATH) + self.request_id
         lines = [
@@ -53,76 +53,79 @@
 
 
 async def send(
-    ask: Ask,
+    request: CallerRequest,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
-    key: str = KEY,
+    key: str = STABLE_KEY,
     path: str = "",
-) -> tuple[Told, bool]:
-    """Make one request; tell also whether the connection goes on."""
-    told = Told(
-        request_id=ask.request_id,
-        is_stream=ask.kind == "stream",
-        is_idempotent=ask.is_idempotent,
+) -> tuple[CallerOutcome, bool]:
+    """Return the outcome of a request and whether to keep the connection."""
+    outcome = CallerOutcome(
+        request_id=request.request_id,
+        is_stream=request.kind == "stream",
+        is_idempotent=request.is_idempotent,
         status=0,
     )
     try:
         async with asyncio.timeout(DEADLINE_MS / 1_000 + 1.0):
-            writer.write(ask.data(key, path))
+            writer.write(request.encode(key, path))
             answer = await read_answer(reader)
     except (OSError, EOFError, TimeoutError):
-        return told, False
-    told = attrs.evolve(
-        told,
+        return outcome, False
+    outcome = attrs.evolve(
+        outcome,
         status=answer.status,
         signature=answer.headers.get(HEADERS.signature, ""),
         body=answer.body,
         is_whole=answer.is_whole,
     )
     closes = answer.headers.get("Connection", "").lower() == "close"
-    return told, answer.is_whole and not closes
+    return outcome, answer.is_whole and not closes
 
 
 class Callers:
-    """Keep some callers busy."""
+    """Run callers that send requests one after the other."""
 
     def __init__(
         self,
         hosts: Sequence[Host],
-        promises: Promises,
+        guarantees: GuaranteeChecker,
         rng: random.Random,
-        on_cut: Callable[[str], None],
+        on_interrupted: Callable[[str], None],
     ) -> None:
-        """Call `on_cut` where a request that was read got no answer."""
+        """Call `on_interrupted` when a request gets no complete answer.
+
+        A request that may never have been read does not count.
+        """
         self._hosts = hosts
-        self._promises = promises
+        self._guarantees = guarantees
         self._random = rng
-        self._on_cut = on_cut
+        self._on_interrupted = on_interrupted
         self._numbers = itertools.count()
         self._stopped = False
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self, number: int) -> None:
-        """Begin with some callers."""
+        """Start `number` callers."""
         self._tasks = [
-            asyncio.create_task(self._keep_calling()) for _ in range(number)
+            asyncio.create_task(self._run_caller()) for _ in range(number)
         ]
 
     async def stop(self) -> None:
-        """Let each caller end what it has begun."""
+        """Stop the callers after their current requests."""
         self._stopped = True
         await asyncio.gather(*self._tasks)
 
-    def ask(self) -> Ask:
-        """Draw a request."""
+    def draw_request(self) -> CallerRequest:
+        """Return a request of a random kind."""
         kind = self._random.choice(["idempotent", "non_idempotent", "stream"])
-        return Ask(f"r{next(self._numbers)}", kind)
+        return CallerRequest(f"r{next(self._numbers)}", kind)
 
-    async def _keep_calling(self) -> None:
+    async def _run_caller(self) -> None:
         while not self._stopped:
-            address = await self._find()
+            address = await self._resolve_address()
             if not address:
-                await asyncio.sleep(LONGEST_REST_S)
+                await asyncio.sleep(MAX_PAUSE_S)
                 continue
             try:
                 async with asyncio.timeout(CONNECT_S):
@@ -135,24 +138,24 @@
     async def _call(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        for number in range(REQUESTS_A_CONNECTION):
+        for number in range(REQUESTS_PER_CONNECTION):
             if self._stopped:
                 return
-            ask = self.ask()
-            self._promises.asked(
-                ask.request_id, is_idempotent=ask.is_idempotent
+            request = self.draw_request()
+            self._guarantees.record_request(
+                request.request_id, is_idempotent=request.is_idempotent
             )
-            told, goes_on = await send(ask, reader, writer)
-            self._promises.tell(told)
-            # A request may cross the close of a kept connection.
-            if not told.is_whole and (number == 0 or told.status):
-                self._on_cut(ask.request_id)
-            if not goes_on:
+            outcome, can_reuse = await send(request, reader, writer)
+            self._guarantees.check_outcome(outcome)
+            # A host may close a reused connection just as a request is sent.
+            if not outcome.is_whole and (number == 0 or outcome.status):
+                self._on_interrupted(request.request_id)
+            if not can_reuse:
                 return
-            await asyncio.sleep(self._random.uniform(0, LONGEST_REST_S))
+            await asyncio.sleep(self._random.uniform(0, MAX_PAUSE_S))
 
-    async def _find(self) -> tuple[str, int] | None:
-        """Ask any host where to connect."""
+    async def _resolve_address(self) -> tuple[str, int] | None:
+        """Ask a random host for an address; return None on failure."""
         host = self._random.choice(self._hosts)
         ip, port = host.address("Directory").split(":")
         path = f"{ADDRESSES_PATH}?Name={SERVED_HOST}&Zone={host.domain}"
--- a/tests/soak/configuration.py
+++ b/tests/soak/configuration.py
@@ -1,4 +1,4 @@
-"""The configurations that operators of a run write."""
+"""The configuration versions that a run publishes."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from typing import Any
 
 SERVED_HOST = "shop.example"
-KEY = "key-that-stays"
-KINDS = {
+STABLE_KEY = "key-that-stays"
+ROUTES = {
     "/view/": ("idempotent", "plain"),
     "/order/": ("non_idempotent", "plain"),
     "/draft/": ("streaming", "model"),
@@ -20,20 +20,23 @@
 }
 
 
-def added_path(version: int) -> str:
-    """Return the path prefix of the route that a version adds."""
+def version_path(version: int) -> str:
+    """Return the path prefix of the route that only `version` has."""
     return f"/added-{version}/"
 
 
 def version_key(version: int) -> str:
-    """Return the key that only that version holds."""
+    """Return the API key that only `version` accepts."""
     return f"key-of-{version}"
 
 
 def configuration(version: int) -> bytes:
-    """Return a version: its own route and key besides those that stay."""
-    kinds = {**KINDS, added_path(version): ("non_idempotent", "plain")}
-    keys = [KEY, version_key(version)]
+    """Return one version of the configuration.
+
+    It has a route and a key of its own besides those of every version.
+    """
+    kinds = {**ROUTES, version_path(version): ("non_idempotent", "plain")}
+    keys = [STABLE_KEY, version_key(version)]
     fields = {
         "Version": version,
         "Routes": [_route(path, *kind) for path, kind in kinds.items()],
--- a/tests/soak/hosts.py
+++ b/tests/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Daemons of the platform as processes, and the store that they share."""
+"""Daemons of the platform as processes, each with a link to the store."""
 
 from __future__ import annotations
 
@@ -14,60 +14,60 @@
 from balsamlift.testing._link import Link
 from balsamlift.testing._settings import LinkSettings
 from balsamlift.testing.platform import KeyedStore
-from soak.upstreams import SOUND
+from soak.upstreams import NO_FAULTS
 
 ROOT = Path(__file__).parent.parent.parent
 PORTS = {"Frontend": 7881, "Readiness": 7882, "Directory": 7883}
-FIRST_PORT = 7890
+FIRST_PORT = 7890  # of the internal ports
 GRACE_S = 3
 DOMAINS = ("north", "south")
 
 
 class Host:
-    """One daemon, restarted by the platform whenever it ends."""
+    """One daemon, restarted whenever its process ends."""
 
     def __init__(self, number: int, folder: Path, store: KeyedStore) -> None:
-        """Prepare its files; no other test uses its address."""
+        """Prepare the files; no other test uses this IP address."""
         self.name = f"edge-{number}"
         self.ip = f"127.0.78.{number + 1}"
         self.domain = DOMAINS[number % len(DOMAINS)]
-        self.output = folder / f"{self.name}.log"
+        self.log_file = folder / f"{self.name}.log"
         self.is_leaving = False
         self.link = Link(
             LinkSettings(name=self.name, target_address=store.address)
         )
         self._file = folder / f"{self.name}.toml"
         self._process: asyncio.subprocess.Process | None = None
-        self._keeper: asyncio.Task[None] | None = None
+        self._supervisor: asyncio.Task[None] | None = None
 
     def address(self, port: str) -> str:
-        """Return one of its addresses."""
+        """Return the address of the listener named `port`."""
         return join_address(self.ip, PORTS[port])
 
     async def start(self) -> None:
-        """Start the daemon, and again whenever it ends."""
+        """Start the daemon and restart it whenever it ends."""
         await self.link.start()
         self._file.write_text(self._settings())
-        self._keeper = asyncio.create_task(self._keep_running())
+        self._supervisor = asyncio.create_task(self._supervise())
 
     async def stop(self) -> None:
-        """End the daemon for good."""
-        if self._keeper is not None:
-            self._keeper.cancel()
-            await asyncio.wait([self._keeper])
+        """Kill the daemon without restarting it."""
+        if self._supervisor is not None:
+            self._supervisor.cancel()
+            await asyncio.wait([self._supervisor])
         if self._process is not None:
             self._signal(signal.SIGKILL)
             await self._process.wait()
         await self.link.stop()
 
-    async def freeze(self, for_s: float) -> None:
-        """Let the daemon stand still for a while."""
+    async def freeze(self, duration_s: float) -> None:
+        """Suspend the daemon for a while."""
         self._signal(signal.SIGSTOP)
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         self._signal(signal.SIGCONT)
 
     async def terminate(self) -> None:
-        """Ask the daemon to leave; kill it when its grace is over."""
+        """Ask the daemon to shut down; kill it after `GRACE_S`."""
         process = self._process
         if process is None or self.is_leaving:
             return
@@ -81,24 +81,24 @@
         self.is_leaving = False
 
     def kill(self) -> None:
-        """End the daemon at once."""
+        """Kill the daemon; it is restarted."""
         self._signal(signal.SIGKILL)
 
-    def hang_up(self) -> None:
-        """Tell the daemon that its settings file has changed."""
+    def reload_settings(self) -> None:
+        """Send SIGHUP so that the daemon reloads its settings file."""
         self._signal(signal.SIGHUP)
 
     def set_link(self, faults: dict[str, object]) -> None:
-        """Break or mend its link to the store."""
-        self.link.control.update({**SOUND, **faults})
+        """Replace the faults of the link to the store."""
+        self.link.control.update({**NO_FAULTS, **faults})
 
     def _signal(self, number: signal.Signals) -> None:
         if self._process is not None and self._process.returncode is None:
-            with contextlib.suppress(ProcessLookupError):  # it just ended
+            with contextlib.suppress(ProcessLookupError):  # it has just ended
                 self._process.send_signal(number)
 
-    async def _keep_running(self) -> None:
-        with self.output.open("ab") as output:
+    async def _supervise(self) -> None:
+        with self.log_file.open("ab") as log_file:
             while True:
                 self._process = await asyncio.create_subprocess_exec(
                     sys.executable,
@@ -108,8 +108,8 @@
                         **os.environ,
                         SETTINGS_FILE_VARIABLE: str(self._file),
                     },
-                    stdout=output,
-                    stderr=output,
+                    stdout=log_file,
+                    stderr=log_file,
                 )
                 await self._process.wait()
                 await asyncio.sleep(0.2)
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""What goes wrong in one run: drawn from its seed before it begins."""
+"""The schedule of faults of one run, derived from its seed."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     "configuration",
 ]
 
-# What operators do on purpose. Around it no request may be cut off.
+# Planned operations of operators. They may not interrupt any request.
 PLANNED: tuple[Kind, ...] = ("term", "hup", "configuration", "upstream_leaves")
 UNPLANNED: tuple[Kind, ...] = (
     "kill",
@@ -41,53 +41,53 @@
     {"delay_ms": 80},
 )
 STORE_FAULTS = ("silent", "busy", "many", "lost")
-# Faults come in series and overlap: the pause to the next is short against
-# their length.
-LONGEST_PAUSE_S = 0.8
-LONGEST_S = 2.5
+# Short compared with the duration of a fault, so that faults come in series
+# and overlap.
+MAX_PAUSE_S = 0.8
+MAX_FAULT_S = 2.5
 PLANNED_ONLY_SHARE = 0.3  # of all seeds
 
 
 @attrs.frozen(kw_only=True)
 class Fault:
-    """Hold one thing that goes wrong, or that operators do."""
+    """One fault, or one planned operation of an operator."""
 
     kind: Kind
-    at_s: float
-    for_s: float
-    which: int  # host or upstream, by number
-    how: int  # variant, by number
+    start_s: float
+    duration_s: float
+    target_number: int  # selects the host or upstream
+    variant_number: int  # selects the variant of the fault
 
 
 @attrs.frozen(kw_only=True)
 class Plan:
-    """Hold all of one run."""
+    """The faults of one run, by start time."""
 
     seed: int
     is_planned_only: bool
     faults: tuple[Fault, ...]
 
 
-def draw(seed: int, length_s: float) -> Plan:
-    """Return the plan of a seed."""
+def draw_plan(seed: int, length_s: float) -> Plan:
+    """Return the plan that follows from a seed."""
     rng = random.Random(seed)
     is_planned_only = rng.random() < PLANNED_ONLY_SHARE
     kinds = PLANNED if is_planned_only else PLANNED + UNPLANNED
     faults = []
-    at_s = 0.5
-    while at_s < length_s:
+    start_s = 0.5
+    while start_s < length_s:
         kind = rng.choice(kinds)
-        for _ in range(rng.choice((1, 1, 2))):  # some at the same moment
+        for _ in range(rng.choice((1, 1, 2))):  # some at the same time
             faults.append(
                 Fault(
                     kind=kind,
-                    at_s=at_s,
-                    for_s=rng.uniform(0.1, LONGEST_S),
-                    which=rng.randrange(1_000),
-                    how=rng.randrange(1_000),
+                    start_s=start_s,
+                    duration_s=rng.uniform(0.1, MAX_FAULT_S),
+                    target_number=rng.randrange(1_000),
+                    variant_number=rng.randrange(1_000),
                 )
             )
-        at_s += rng.uniform(0.05, LONGEST_PAUSE_S)
+        start_s += rng.uniform(0.05, MAX_PAUSE_S)
     return Plan(
         seed=seed, is_planned_only=is_planned_only, faults=tuple(faults)
     )
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that fail by chance and tell what they ran."""
+"""Upstreams that fail at random and record what they execute."""
 
 from __future__ import annotations
 
@@ -16,26 +16,28 @@
     ReplicaRequest,
     ReplicaStandIn,
 )
-from soak.promises import Promises, last_event, stream_event
+from soak.guarantees import GuaranteeChecker, last_event, stream_event
 
-SOUND = attrs.asdict(LinkFaults())
+NO_FAULTS = attrs.asdict(LinkFaults())
 EVENT_GAP_S = 0.01
-LONGEST_WORK_S = 0.04
+MAX_WORK_S = 0.04
 
 
 class Upstreams:
-    """Hold the upstreams of a run, each behind a link of its own."""
+    """The upstreams of a run, each behind a link of its own."""
 
-    def __init__(self, promises: Promises, rng: random.Random) -> None:
-        """Tell `promises` what runs."""
-        self.promises = promises
-        self.is_calm = False  # none fails any more
+    def __init__(
+        self, guarantees: GuaranteeChecker, rng: random.Random
+    ) -> None:
+        """Report each executed request to `guarantees`."""
+        self.guarantees = guarantees
+        self.is_fault_free = False  # no upstream fails at random
         self.live: dict[str, tuple[ReplicaStandIn, Link]] = {}
         self._random = rng
         self._numbers = itertools.count()
 
     async def add(self, service: str) -> str:
-        """Start one; return its name."""
+        """Start an upstream and return its name."""
         name = f"{service}-{next(self._numbers)}"
         replica = ReplicaStandIn(name, service, HEADERS)
         replica.behave = self._stream if service == "model" else self._answer
@@ -46,35 +48,35 @@
         return name
 
     def address(self, name: str) -> str:
-        """Return where hosts reach one."""
+        """Return the address of the link to an upstream."""
         return str(self.live[name][1].ready()["address"])
 
     def service(self, name: str) -> str:
-        """Return the service of one."""
+        """Return the service that an upstream belongs to."""
         return self.live[name][0].pool
 
     def set_link(self, name: str, faults: dict[str, object]) -> None:
-        """Break or mend the link to one."""
+        """Replace the faults of the link to an upstream."""
         if name in self.live:
-            self.live[name][1].control.update({**SOUND, **faults})
+            self.live[name][1].control.update({**NO_FAULTS, **faults})
 
     async def stop(self, name: str) -> None:
-        """End one at once."""
+        """Stop an upstream at once."""
         replica, link = self.live.pop(name)
         await link.stop()
         await replica.stop()
 
     async def stop_all(self) -> None:
-        """End them all."""
+        """Stop all upstreams."""
         for name in list(self.live):
             await self.stop(name)
 
-    def _chance(self) -> float:
-        return 1.0 if self.is_calm else self._random.random()
+    def _draw_chance(self) -> float:
+        return 1.0 if self.is_fault_free else self._random.random()
 
     def _begin(self, request: ReplicaRequest) -> str:
         request_id = request.headers[HEADERS.request_id]
-        self.promises.ran(
+        self.guarantees.record_run(
             request_id,
             request.headers.get(HEADERS.workspace, ""),
             has_key="Authorization" in request.headers,
@@ -85,13 +87,13 @@
     async def _answer(
         self, connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
-        chance = self._chance()
+        chance = self._draw_chance()
         if chance < 0.04:
             await connection.refuse(request)
             return
         request_id = self._begin(request)
-        await asyncio.sleep(self._random.uniform(0, LONGEST_WORK_S))
-        body = f"{request_id} at {len(self.promises.told)}".encode()
+        await asyncio.sleep(self._random.uniform(0, MAX_WORK_S))
+        body = f"{request_id} at {len(self.guarantees.outcomes)}".encode()
         if chance < 0.06:
             connection.reset()
         elif chance < 0.08:
@@ -100,15 +102,15 @@
             connection.reset()
         else:
             status = 500 if chance < 0.12 else 200
-            self.promises.answered(request_id, status, body)
+            self.guarantees.record_upstream_answer(request_id, status, body)
             await connection.answer(request, body, status)
-            if chance > 0.97 and not self.is_calm:
+            if chance > 0.97 and not self.is_fault_free:
                 await connection.answer(request, b"a second answer")
 
     async def _stream(
         self, connection: ReplicaConnection, request: ReplicaRequest
     ) -> None:
-        chance = self._chance()
+        chance = self._draw_chance()
         resumes = HEADERS.resume_source in request.headers
         if chance < (0.5 if resumes else 0.04):
             await connection.refuse(request)
