--- a/tests/scenarios/__init__.py
+++ b/tests/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted scenarios: features in Gherkin, steps, and a small harness."""
+"""End-to-end scenarios in Gherkin, their steps and the test harness."""
--- a/tests/scenarios/attempts.py
+++ b/tests/scenarios/attempts.py
@@ -1,4 +1,4 @@
-"""One plain request to one host, without the client library."""
+"""Send a single request to one host without the client library."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     SimpleAsyncHTTPClient,
 )
 
-ATTEMPT_S = 60.0
+ATTEMPT_TIMEOUT_S = 60.0
 
 
 @attrs.define
 class Attempt:
-    """What the sender of one request was told."""
+    """One request to one host and the answer that its sender received."""
 
     key: str
     kind: str
-    outcome: str = ""  # as told; "lost" when the connection ended first
+    outcome: str = ""  # "lost": the connection ended before any outcome
     reason: str = ""
     retry_after_ms: int = 0
     digest: str = ""
@@ -33,20 +33,20 @@
     out_of_order: bool = False
     ended: bool = False
 
-    def accept(self, event: str, data: dict[str, Any]) -> None:
-        """Take in one event of the stream."""
+    def apply_event(self, event: str, data: dict[str, Any]) -> None:
+        """Update this attempt with one event of the stream."""
         if event == "token":
-            self._take_tokens(data)
+            self._add_tokens(data)
         elif event == "end":
-            self._take_outcome(data)
+            self._set_outcome(data)
 
-    def _take_tokens(self, data: dict[str, Any]) -> None:
+    def _add_tokens(self, data: dict[str, Any]) -> None:
         self.generations.add(data["generation"])
         if data["index"] != len(self.tokens):
             self.out_of_order = True
         self.tokens.extend(data["tokens"])
 
-    def _take_outcome(self, data: dict[str, Any]) -> None:
+    def _set_outcome(self, data: dict[str, Any]) -> None:
         self.outcome = data.get("outcome", "error")
         self.reason = data.get("reason", "")
         self.retry_after_ms = data.get("retry_after_ms") or 0
@@ -56,7 +56,7 @@
 
 
 def digest_tokens(tokens: list[str]) -> str:
-    """Return the digest as docs/PROTOCOLS.md defines it."""
+    """Return the digest of an answer, as docs/PROTOCOLS.md defines it."""
     digest = hashlib.sha256()
     for token in tokens:
         digest.update(token.encode() + b"\0")
@@ -64,14 +64,14 @@
 
 
 class _EventParser:
-    """Split a stream into server-sent events."""
+    """Parse a byte stream into server-sent events."""
 
     def __init__(self, attempt: Attempt) -> None:
         self._attempt = attempt
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, chunk: bytes) -> None:
-        *blocks, self._rest = (self._rest + chunk).split(b"\n\n")
+        *blocks, self._buffer = (self._buffer + chunk).split(b"\n\n")
         for block in blocks:
             fields = dict(
                 line.split(": ", 1)
@@ -80,18 +80,18 @@
             )
             if "event" in fields:
                 data = json.loads(fields.get("data", "{}"))
-                self._attempt.accept(fields["event"], data)
+                self._attempt.apply_event(fields["event"], data)
 
 
 async def send(
     attempt: Attempt, address: str, body: dict[str, Any]
 ) -> Attempt:
-    """Send `body` to the host at `address` and follow the answer."""
+    """Send `body` to the host at `address` and read the answer to its end."""
     client = SimpleAsyncHTTPClient(force_instance=True)
     parser = _EventParser(attempt)
     received: list[bytes] = []
 
-    def take(chunk: bytes) -> None:
+    def on_chunk(chunk: bytes) -> None:
         received.append(chunk)
         parser.feed(chunk)
 
@@ -99,14 +99,14 @@
         f"http://{address}/v1/requests",
         method="POST",
         body=json.dumps(body),
-        request_timeout=ATTEMPT_S,
-        streaming_callback=take,
+        request_timeout=ATTEMPT_TIMEOUT_S,
+        streaming_callback=on_chunk,
     )
     try:
         await client.fetch(request)
     except HTTPClientError as error:
         if not isinstance(error, HTTPTimeoutError | HTTPStreamClosedError):
-            _take_error(attempt, b"".join(received))
+            _set_error(attempt, b"".join(received))
     except (TimeoutError, OSError):
         pass
     finally:
@@ -117,9 +117,9 @@
     return attempt
 
 
-def _take_error(attempt: Attempt, body: bytes) -> None:
-    """Take in an answer with a 4xx or 5xx status."""
+def _set_error(attempt: Attempt, body: bytes) -> None:
+    """Record the body of an answer with a 4xx or 5xx status."""
     try:
-        attempt.accept("end", json.loads(body))
+        attempt.apply_event("end", json.loads(body))
     except ValueError:
         attempt.reason = body.decode(errors="replace")
--- a/tests/scenarios/background.py
+++ b/tests/scenarios/background.py
@@ -1,4 +1,4 @@
-"""A loop in a thread, so that callers run beside the steps."""
+"""An event loop in a thread, which runs callers concurrently with steps."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 T = TypeVar("T")
 
 POLL_S = 0.02
-PATIENCE_S = 30.0
+WAIT_TIMEOUT_S = 30.0
 
 
-class Background:
-    """Run coroutines on one loop in one thread."""
+class BackgroundLoop:
+    """Run coroutines on one event loop in its own thread."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -25,38 +25,44 @@
         )
         self._thread.start()
 
-    def begin(self, work: Coroutine[Any, Any, T]) -> Future[T]:
-        """Start `work` and return at once."""
-        return asyncio.run_coroutine_threadsafe(work, self.loop)
+    def submit(self, coroutine: Coroutine[Any, Any, T]) -> Future[T]:
+        """Schedule `coroutine` and return its future at once."""
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop)
 
     def run(
-        self, work: Coroutine[Any, Any, T], within_s: float = PATIENCE_S
+        self,
+        coroutine: Coroutine[Any, Any, T],
+        timeout_s: float = WAIT_TIMEOUT_S,
     ) -> T:
-        """Return what `work` returns."""
-        return self.begin(work).result(within_s)
+        """Run `coroutine` to its end and return its result."""
+        return self.submit(coroutine).result(timeout_s)
 
     def close(self) -> None:
-        """Cancel what still runs and end the thread."""
-        # Relayed connections complain when they are cancelled.
+        """Cancel the running tasks, then stop the loop and its thread."""
+        # Cancelled proxy connections would log unhandled exceptions.
         self.loop.set_exception_handler(lambda *_: None)
         self.run(self._cancel_all())
         self.loop.call_soon_threadsafe(self.loop.stop)
-        self._thread.join(PATIENCE_S)
+        self._thread.join(WAIT_TIMEOUT_S)
         self.loop.close()
 
     async def _cancel_all(self) -> None:
-        me = asyncio.current_task()
-        tasks = [t for t in asyncio.all_tasks() if t is not me]
+        current = asyncio.current_task()
+        tasks = [t for t in asyncio.all_tasks() if t is not current]
         for task in tasks:
             task.cancel()
         await asyncio.wait(tasks, timeout=5) if tasks else None
 
 
 def wait_until(
-    happened: Callable[[], bool], what: str, within_s: float = PATIENCE_S
+    condition: Callable[[], bool],
+    description: str,
+    timeout_s: float = WAIT_TIMEOUT_S,
 ) -> None:
-    """Return once `happened`; fail, saying `what`, after `within_s`."""
-    end = time.monotonic() + within_s
-    while not happened():
-        assert time.monotonic() < end, f"not within {within_s} s: {what}"
+    """Poll until `condition()`; fail with `description` after `timeout_s`."""
+    deadline = time.monotonic() + timeout_s
+    while not condition():
+        assert time.monotonic() < deadline, (
+            f"not within {timeout_s} s: {description}"
+        )
         time.sleep(POLL_S)
--- a/tests/scenarios/callers.py
+++ b/tests/scenarios/callers.py
@@ -1,4 +1,4 @@
-"""Callers that use the client library, and what they were told."""
+"""Callers that use the client library, and the outcomes they received."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from balsamlift.exceptions import BalsamliftError
 from balsamlift.requests import Addresses, Place
 from balsamlift.streams import Outcome, Stream
-from scenarios.background import Background
+from scenarios.background import BackgroundLoop
 from scenarios.links import TestLink
 
 WORKSPACE = "conservation"
@@ -19,22 +19,22 @@
 
 @attrs.define(eq=False)
 class Call:
-    """One request as its caller saw it."""
+    """One request and all that its caller received for it."""
 
     kind: str
     request: Request
-    length: int  # tokens that a whole answer has; 0 for services
-    keys: list[str] = attrs.field(factory=list)  # under which bytes left
+    length: int  # tokens of a complete answer; 0 for services
+    keys: list[str] = attrs.field(factory=list)  # every key that was sent
     tokens: list[str] = attrs.field(factory=list)
     progress: Progress | None = None
     outcome: Outcome | None = None
-    tries: int = 0  # connections to hosts
+    connection_attempts: int = 0  # to hosts
     error: BalsamliftError | None = None
     done: bool = False
 
     @property
-    def told(self) -> str:
-        """Return the outcome that was told, empty while there is none."""
+    def reported_outcome(self) -> str:
+        """Return the outcome the caller received, empty until there is one."""
         if not self.done:
             return ""
         return self.outcome.outcome if self.outcome else "error"
@@ -53,17 +53,17 @@
 
     @property
     def home(self) -> str:
-        """Return the name of the host that is home to the last key."""
+        """Return the name of the home host of the last key."""
         return self.keys[-1].split("~")[0]
 
-    def take(self, tokens: list[str]) -> None:
+    def add_tokens(self, tokens: list[str]) -> None:
         self.tokens.extend(tokens)
 
 
 class RecordingClient(Client):
-    """The client library, noting the keys that it sends.
+    """A client that records the keys and connections of its calls.
 
-    With `links` it reaches each host through a link of its own.
+    With `links`, it reaches each host through that host's own link.
     """
 
     def __init__(
@@ -74,10 +74,10 @@
         self._links = links
 
     async def run_recorded(self, call: Call) -> Call:
-        """Run one call to its outcome."""
+        """Run one call and record its outcome or error."""
         self.call = call
         try:
-            call.outcome = await self.run(call.request, call.take)
+            call.outcome = await self.run(call.request, call.add_tokens)
         except BalsamliftError as error:
             call.error = error
         finally:
@@ -89,28 +89,28 @@
         return self.call.progress
 
     def _open(self, progress: Progress, place: Place) -> Stream:
-        self.call.tries += 1
+        self.call.connection_attempts += 1
         if progress.key not in self.call.keys:
             self.call.keys.append(progress.key)
         return super()._open(progress, place)
 
     async def _ask_places(self, address: str) -> Addresses:
-        found = await super()._ask_places(address)
+        answer = await super()._ask_places(address)
         if self._links is None:
-            return found
-        places = [await self._links.through(p) for p in found.addresses]
-        return attrs.evolve(found, addresses=places)
+            return answer
+        places = [await self._links.reroute(p) for p in answer.addresses]
+        return attrs.evolve(answer, addresses=places)
 
 
 class HostLinks:
-    """Links between callers and hosts, made when first used."""
+    """Links between callers and hosts, created on first use."""
 
-    def __init__(self, background: Background) -> None:
+    def __init__(self, background: BackgroundLoop) -> None:
         self._background = background
         self.by_host: dict[str, TestLink] = {}
 
-    async def through(self, place: Place) -> Place:
-        """Return the place behind its link."""
+    async def reroute(self, place: Place) -> Place:
+        """Return `place` with the address of its link."""
         loop = asyncio.get_running_loop()
         link = self.by_host.get(place.host)
         if link is None or link.target != place.address:
@@ -124,7 +124,7 @@
 async def run_call(
     call: Call, addresses: list[str], links: HostLinks | None = None
 ) -> Call:
-    """Run one call to its outcome."""
+    """Run one call with a client of its own."""
     client = RecordingClient(addresses, call, links)
     try:
         return await client.run_recorded(call)
@@ -133,7 +133,7 @@
 
 
 def make_call(kind: str, number: int, length: int = 0) -> Call:
-    """Return a call that differs from all others of a scenario."""
+    """Return a call whose content is unique within a scenario."""
     if kind in ("lookup", "refund"):
         payload = {"number": number, "kind": kind}
         return Call(kind, Request(kind=kind, payload=payload), 0)
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/context.py
@@ -1,4 +1,4 @@
-"""What the steps of one scenario share."""
+"""The state that the steps of one scenario share."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from balsamlift.requests import new_homed_key, new_unhomed_key
 from scenarios import attempts, callers
 from scenarios.attempts import Attempt
-from scenarios.background import Background, wait_until
+from scenarios.background import BackgroundLoop, wait_until
 from scenarios.callers import Call, HostLinks
 from scenarios.deployment import Deployment, Plan
+from scenarios.generation_monitor import GenerationMonitor
 from scenarios.load import Load
-from scenarios.monitor import Monitor
-from scenarios.upstreams import StandIn, wait_settled
+from scenarios.upstreams import StandIn, wait_keys_done
 
 
-class World:
-    """Hold the deployment, the callers and what they were told."""
+class ScenarioContext:
+    """Hold the deployment, the callers and the outcomes they received."""
 
     def __init__(self) -> None:
-        self.background = Background()
+        self.background = BackgroundLoop()
         self.plan = Plan()
         self.host_links = HostLinks(self.background)
         self.calls: list[Call] = []
@@ -31,10 +31,10 @@
         self.results: list[OperationResult] = []
         self.exit_codes: list[int] = []
         self.load: Load | None = None
-        self.monitor: Monitor | None = None
+        self.monitor: GenerationMonitor | None = None
         self._deployment: Deployment | None = None
         self._futures: list[Future[Any]] = []
-        self._prefixes: dict[int, str] = {}
+        self._key_prefixes: dict[int, str] = {}
 
     @property
     def deployment(self) -> Deployment:
@@ -44,34 +44,36 @@
     def deploy(self, hosts: int, engines: int, services: int) -> None:
         self._deployment = Deployment(self.background, self.plan)
         self._deployment.start(hosts, engines, services)
-        self.monitor = Monitor(self._deployment)
+        self.monitor = GenerationMonitor(self._deployment)
 
-    def begin_call(self, kind: str, length: int = 0) -> Call:
-        """Begin one call by the client library."""
+    def start_call(self, kind: str, length: int = 0) -> Call:
+        """Start one call through the client library."""
         call = callers.make_call(kind, len(self.calls) + 1, length)
         self.calls.append(call)
         addresses = [h.address for h in self.deployment.usable_hosts]
-        work = callers.run_call(call, addresses, self.host_links)
-        self._futures.append(self.background.begin(work))
+        coroutine = callers.run_call(call, addresses, self.host_links)
+        self._futures.append(self.background.submit(coroutine))
         return call
 
     def call(self, kind: str) -> Call:
-        """Return the last call of a kind."""
+        """Return the latest call of `kind`."""
         return next(c for c in reversed(self.calls) if c.kind == kind)
 
     def calls_of(self, kind: str) -> list[Call]:
         return [c for c in self.calls if c.kind == kind]
 
-    def wait_told(self, calls: list[Call], within_s: float = 60.0) -> None:
-        """Wait until each caller was told an outcome."""
+    def wait_answered(
+        self, calls: list[Call], timeout_s: float = 60.0
+    ) -> None:
+        """Wait until every one of `calls` has an outcome."""
         wait_until(
             lambda: all(c.done for c in calls),
-            "every caller is told an outcome",
-            within_s,
+            "every call has an outcome",
+            timeout_s,
         )
 
     def upstream_of(self, call: Call) -> StandIn:
-        """Return where a call runs, waiting until it runs somewhere."""
+        """Wait until an upstream executes a call and return that upstream."""
         found: list[StandIn] = []
 
         def runs() -> bool:
@@ -82,16 +84,19 @@
             ]
             return bool(found)
 
-        wait_until(runs, f"the {call.kind} runs")
+        wait_until(runs, f"an upstream runs the {call.kind}")
         return found[-1]
 
-    def begin_attempt(
+    def start_attempt(
         self, kind: str, host: int, key: str | None = None
     ) -> Attempt:
-        """Send a request to one host; draw a key of that host's if none."""
+        """Send a request to one host.
+
+        Without `key`, a new key is drawn whose home is that host.
+        """
         target = self.deployment.hosts[host]
         if key is None:
-            key = new_homed_key(self.prefix_of(host))
+            key = new_homed_key(self.key_prefix_of(host))
         is_first = all(a.key != key for a in self.attempts)
         attempt = Attempt(key, kind)
         self.attempts.append(attempt)
@@ -102,42 +107,42 @@
             "payload": {"kind": kind, "amount": 12},
             "first_attempt": is_first,
         }
-        work = attempts.send(attempt, target.address, body)
-        self._futures.append(self.background.begin(work))
+        coroutine = attempts.send(attempt, target.address, body)
+        self._futures.append(self.background.submit(coroutine))
         return attempt
 
-    def prefix_of(self, host: int) -> str:
-        """Return the key prefix of a host, as it gave it when first asked."""
-        if host not in self._prefixes:
+    def key_prefix_of(self, host: int) -> str:
+        """Return the key prefix of a host, cached from the first query."""
+        if host not in self._key_prefixes:
             target = self.deployment.hosts[host]
-            self._prefixes[host] = target.key_prefix()
-        return self._prefixes[host]
+            self._key_prefixes[host] = target.key_prefix()
+        return self._key_prefixes[host]
 
-    def keep_prefixes(self) -> None:
-        """Ask every host for its prefix, before one of them fails."""
+    def fetch_key_prefixes(self) -> None:
+        """Cache the key prefix of every host before one of them fails."""
         for number in self.deployment.hosts:
-            self.prefix_of(number)
+            self.key_prefix_of(number)
 
     def new_unhomed_key(self) -> str:
         return new_unhomed_key(SystemClock().now())
 
-    def wait_attempts(self, within_s: float = 60.0) -> None:
+    def wait_attempts(self, timeout_s: float = 60.0) -> None:
         wait_until(
             lambda: all(a.ended for a in self.attempts),
-            "every attempt is told an outcome",
-            within_s,
+            "every attempt has an outcome",
+            timeout_s,
         )
 
-    def settle(self) -> None:
-        """Wait until nothing of this scenario runs any more."""
+    def wait_idle(self) -> None:
+        """Wait until no request of this scenario runs on any upstream."""
         keys = [key for call in self.calls for key in call.keys]
         keys += [a.key for a in self.attempts]
         live = [s for s in self.deployment.stand_ins.values() if not s.dead]
-        wait_settled(live, sorted(set(keys)))
+        wait_keys_done(live, sorted(set(keys)))
 
     def close(self) -> None:
         if self.load is not None:
-            self.load.end()
+            self.load.stop()
         if self.monitor is not None:
             self.monitor.stop()
         for future in self._futures:
@@ -147,6 +152,6 @@
         self.background.close()
 
 
-def wait_s(delay_s: float) -> None:
-    """Let time pass where a bound in time is what is proved."""
+def pause(delay_s: float) -> None:
+    """Sleep in a step that checks a time limit."""
     time.sleep(delay_s)
--- a/tests/scenarios/control.py
+++ b/tests/scenarios/control.py
@@ -1,4 +1,4 @@
-"""Calls to stand-ins and operators' addresses, made straight from steps."""
+"""Synchronous HTTP calls to stand-ins and operators' addresses."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def call(method: str, address: str, path: str, body: Any = None) -> Any:
-    """Return the JSON answer; raise `OSError` when there is none."""
+    """Return the JSON answer; raise `OSError` on failure or timeout."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(
         f"http://{address}{path}", data=data, method=method
@@ -27,7 +27,7 @@
 
 
 def set_faults(address: str, **faults: Any) -> None:
-    """Change only these faults of a stand-in."""
+    """Set the given faults of a stand-in and leave its others as they are."""
     call("POST", address, "/control/faults", faults)
 
 
--- a/tests/scenarios/deployment.py
+++ b/tests/scenarios/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment: platform, upstreams and hosts as processes."""
+"""A complete deployment: platform, upstreams and hosts as processes."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from balsamlift.presets._operator import OperationResult, Operator
 from balsamlift.testing import Process, start_stand_in
 from scenarios import control, hosts
-from scenarios.background import Background, wait_until
-from scenarios.hosts import PoolShape, TestHost
+from scenarios.background import BackgroundLoop, wait_until
+from scenarios.hosts import PoolOptions, TestHost
 from scenarios.presets import make_preset
 from scenarios.upstreams import (
-    EngineShape,
+    EngineOptions,
     StandIn,
     put_behind_link,
     start_engine,
@@ -25,31 +25,31 @@
 )
 
 LOG_RETENTION_MS = 600_000
-MOST_ADDRESSES = 4  # that a host names to a caller
+MAX_ADDRESSES = 4  # that a host returns to a caller
 PRESETS = ("ordinary", "peak", "maintenance")
 
 
 @attrs.define
 class Plan:
-    """What a scenario asks for before its deployment starts."""
+    """The options of a deployment, set before it starts."""
 
-    engines: EngineShape = attrs.field(factory=EngineShape)
-    pools: PoolShape = attrs.field(factory=PoolShape)
+    engines: EngineOptions = attrs.field(factory=EngineOptions)
+    pools: PoolOptions = attrs.field(factory=PoolOptions)
     policy: dict[str, Any] = attrs.field(factory=dict)
     platform: dict[str, Any] = attrs.field(factory=dict)
     orders: dict[str, int] = attrs.field(factory=dict)
 
 
 class Deployment:
-    """Start, change and end the processes of one scenario."""
+    """Start, reconfigure and stop the processes of one scenario."""
 
-    def __init__(self, background: Background, plan: Plan) -> None:
+    def __init__(self, background: BackgroundLoop, plan: Plan) -> None:
         self.background = background
         self.plan = plan
         self.hosts: dict[int, TestHost] = {}
-        self.past_hosts: list[TestHost] = []
+        self.former_hosts: list[TestHost] = []
         self.stand_ins: dict[str, StandIn] = {}
-        self.generation = 0  # in force as the last operator was told
+        self.generation = 0  # the newest that an operator saw accepted
         self._platform: Process | None = None
 
     @property
@@ -70,7 +70,7 @@
         return [h for h in self.hosts.values() if h.usable]
 
     def start(self, host_count: int, engines: int, services: int) -> None:
-        """Start everything and return once requests can be served."""
+        """Start all processes and wait until requests can be served."""
         self._platform = start_stand_in(
             "platform",
             {"address": "127.0.4.1:0", "hosts_lag_ms": 0} | self.plan.platform,
@@ -85,14 +85,14 @@
             self.stand_ins[stand_in.name] = stand_in
             if kind == "engine" and self.plan.engines.fetches_weights:
                 self._wait_listed(stand_in.name)
-            self.list_entry(stand_in.name, stand_in.entry)
+            self.set_list_entry(stand_in.name, stand_in.entry)
         for host in self.hosts.values():
-            self.list_entry(host.name, host.entry)
-        self._publish_all()
+            self.set_list_entry(host.name, host.entry)
+        self._publish_and_switch()
         self.wait_serving()
 
     def start_host(self, number: int) -> TestHost:
-        """Start a host, not yet in the platform's list."""
+        """Start a host without entering it in the platform's list."""
         host = hosts.start(
             self.background,
             number,
@@ -105,12 +105,12 @@
         return host
 
     def add_host(self, number: int) -> TestHost:
-        """Start a host and enter it in the list."""
+        """Start a host and enter it in the platform's list."""
         host = self.start_host(number)
-        self.list_entry(host.name, host.entry)
+        self.set_list_entry(host.name, host.entry)
         return host
 
-    def list_entry(self, name: str, entry: dict[str, str]) -> None:
+    def set_list_entry(self, name: str, entry: dict[str, str]) -> None:
         """Set one entry in the platform's list."""
         control.call("PUT", self.platform_address, f"/v1/hosts/{name}", entry)
 
@@ -118,41 +118,41 @@
         control.set_faults(self.platform_address, **faults)
 
     def earliest_offset(self) -> int:
-        """Return the first offset that the log still holds."""
+        """Return the earliest offset that the log still holds."""
         page = control.get(self.platform_address, "/v1/log/read?from=0")
         return int(page["earliest"])
 
     def operator(self) -> Operator:
-        """Return an operator who reaches the log without a link."""
+        """Return an operator that connects to the log without a link."""
         return Operator(self.platform_address)
 
     def switch(self, name: str) -> OperationResult:
-        """Switch as one operator and keep what was told."""
+        """Switch to a preset as an operator and record the result."""
         result = self.background.run(self.operator().switch(name))
-        self.note(result)
+        self.record_result(result)
         return result
 
-    def note(self, result: OperationResult) -> None:
+    def record_result(self, result: OperationResult) -> None:
         if result.state == "accepted":
             assert result.generation is not None
             self.generation = max(self.generation, result.generation)
 
     def is_in_force(self, host: TestHost) -> bool:
-        """Tell whether a host has what operators were told is accepted."""
+        """Return whether a host has applied the newest accepted generation."""
         try:
             return int(host.status()["generation"]) >= self.generation
         except OSError:
             return False
 
-    def wait_in_force(self, within_s: float = 30.0) -> None:
+    def wait_in_force(self, timeout_s: float = 30.0) -> None:
         wait_until(
             lambda: all(map(self.is_in_force, self.usable_hosts)),
             f"generation {self.generation} in force on every host",
-            within_s,
+            timeout_s,
         )
 
     def wait_serving(self) -> None:
-        """Wait until every usable host is listed and knows all upstreams."""
+        """Wait until every usable host knows all hosts and upstreams."""
         self.wait_in_force()
         for host in self.usable_hosts:
             wait_until(
@@ -162,13 +162,13 @@
 
     def _knows_all(self, host: TestHost) -> bool:
         upstreams = [s for s in self.stand_ins.values() if not s.dead]
-        listed = min(len(self.usable_hosts), MOST_ADDRESSES)
+        listed = min(len(self.usable_hosts), MAX_ADDRESSES)
         return host.address_count() >= listed and host.live_upstreams() >= len(
             upstreams
         )
 
     def executions(self) -> Counter[str]:
-        """Return how often each key was executed, by all stand-ins."""
+        """Return how often all stand-ins together executed each key."""
         total: Counter[str] = Counter()
         for stand_in in self.stand_ins.values():
             total += stand_in.executions()
@@ -183,17 +183,17 @@
         return code
 
     def replace_host(self, number: int) -> int:
-        """Start a new incarnation after the old one has left."""
+        """Shut a host down and start a new incarnation of it."""
         code = self.stop_host(number)
-        self.past_hosts.append(self.hosts[number])
+        self.former_hosts.append(self.hosts[number])
         self.add_host(number)
         self.wait_serving()
         return code
 
     def close(self) -> None:
-        """End every process of this deployment."""
+        """Kill every process of this deployment."""
         processes = [h.process for h in self.hosts.values()]
-        processes += [h.process for h in self.past_hosts]
+        processes += [h.process for h in self.former_hosts]
         processes += [s.process for s in self.stand_ins.values()]
         if self._platform is not None:
             processes.append(self._platform)
@@ -206,9 +206,9 @@
         return start_engine(number, self.plan.engines, self.platform_address)
 
     def _wait_listed(self, name: str) -> None:
-        """Wait until a stand-in that knows the platform is in its list.
+        """Wait until a stand-in has entered itself in the platform's list.
 
-        What it reports there is to be replaced by the address of its link.
+        Its own entry is then overwritten with the address of its link.
         """
         wait_until(lambda: self._lists(name), f"{name} is listed")
 
@@ -216,11 +216,11 @@
         listed = control.get(self.platform_address, "/v1/hosts")
         return any(entry["name"] == name for entry in listed["hosts"])
 
-    def _publish_all(self) -> None:
-        self.background.run(self._publish())
+    def _publish_and_switch(self) -> None:
+        self.background.run(self._publish_presets())
         self.switch(PRESETS[0])
 
-    async def _publish(self) -> None:
+    async def _publish_presets(self) -> None:
         for name in PRESETS:
             raw = make_preset(name, **self.plan.policy)
             preset = structure(raw, Preset, name)
--- a/tests/scenarios/chaos.py
+++ b/tests/scenarios/fault_injector.py
@@ -1,4 +1,4 @@
-"""Random faults from a fixed seed, each healed after a while."""
+"""Inject random faults from a fixed seed and heal each one later."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from scenarios.hosts import TestHost
 from scenarios.upstreams import StandIn
 
-Heal = Callable[[], None]
+Heal = Callable[[], None]  # ends a fault
 
-MOST_FAULTS = 4  # in force together
-WORK_MS = 80  # of a service, so that faults meet work in progress
-SLOW_WORK_MS = 600
+MAX_FAULTS = 4  # active at the same time
+SERVICE_WORK_MS = 80  # per request, so that faults hit running requests
+SLOW_SERVICE_WORK_MS = 600
 
 
-class Chaos:
-    """Cause and heal faults, one at a call of `step`."""
+class FaultInjector:
+    """Inject or heal one fault with each call of `step`."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
-        self.caused: Counter[str] = Counter()
+        self.injected: Counter[str] = Counter()
         self._deployment = deployment
         self._random = random.Random(seed)
         self._heals: list[tuple[str, Heal]] = []
@@ -35,101 +35,108 @@
             "upstream connections silent": self._silence_upstream,
             "service answers lost": self._lose_answers,
             "services slow": self._slow_services,
-            "log down": self._log_down,
-            "log answers lost": self._log_loses,
+            "log down": self._take_log_down,
+            "log answers lost": self._lose_log_answers,
         }
 
-    def begin(self) -> None:
-        """Let work take a while, before the first fault."""
+    def prepare(self) -> None:
+        """Slow the services down before the first fault.
+
+        Requests must still be running when a fault occurs.
+        """
         for service in self._deployment.services:
-            service.set_faults(slow_ms=WORK_MS)
+            service.set_faults(slow_ms=SERVICE_WORK_MS)
 
     def step(self) -> None:
-        """Cause one fault, or heal the oldest when there are enough."""
-        full = len(self._heals) >= MOST_FAULTS
+        """Inject one fault, or heal the oldest active one.
+
+        The oldest is healed when `MAX_FAULTS` are active, and otherwise
+        with a probability of 0.4.
+        """
+        full = len(self._heals) >= MAX_FAULTS
         if full or (self._heals and self._random.random() < 0.4):
             self._heals.pop(0)[1]()
             return
         name = self._random.choice(sorted(self._faults))
-        healing = self._faults[name]()
-        if healing is not None:
-            self.caused[name] += 1
-            self._heals.append(healing)
+        fault = self._faults[name]()
+        if fault is not None:
+            self.injected[name] += 1
+            self._heals.append(fault)
 
     def heal_all(self) -> None:
         while self._heals:
             self._heals.pop(0)[1]()
 
-    def _spare_host(self) -> TestHost | None:
-        """Return a host that may fail: two others always serve."""
-        busy = {what for what, _ in self._heals}
+    def _pick_healthy_host(self) -> TestHost | None:
+        """Return a healthy host, or None unless two others stay healthy."""
+        faulty = {name for name, _ in self._heals}
         hosts = self._deployment.hosts.values()
-        whole = [h for h in hosts if h.usable and h.name not in busy]
-        if len(whole) <= 2:
+        healthy = [h for h in hosts if h.usable and h.name not in faulty]
+        if len(healthy) <= 2:
             return None
-        return self._random.choice(whole)
+        return self._random.choice(healthy)
 
-    def _spare_upstream(self) -> StandIn | None:
-        busy = {what for what, _ in self._heals}
+    def _pick_healthy_upstream(self) -> StandIn | None:
+        faulty = {name for name, _ in self._heals}
         stand_ins = self._deployment.stand_ins.values()
-        whole = [s for s in stand_ins if s.name not in busy]
-        return self._random.choice(whole) if whole else None
+        healthy = [s for s in stand_ins if s.name not in faulty]
+        return self._random.choice(healthy) if healthy else None
 
     def _kill_host(self) -> tuple[str, Heal] | None:
-        host = self._spare_host()
+        host = self._pick_healthy_host()
         if host is None:
             return None
         host.kill()
-        return host.name, lambda: self._start_again(host)
+        return host.name, lambda: self._restart(host)
 
     def _freeze_host(self) -> tuple[str, Heal] | None:
-        host = self._spare_host()
+        host = self._pick_healthy_host()
         if host is None:
             return None
         host.freeze()
         return host.name, host.thaw
 
     def _shut_host_down(self) -> tuple[str, Heal] | None:
-        host = self._spare_host()
+        host = self._pick_healthy_host()
         if host is None:
             return None
         host.process.terminate()
         host.leaving = True
-        return host.name, lambda: self._after_shutdown(host)
+        return host.name, lambda: self._restart_after_shutdown(host)
 
-    def _after_shutdown(self, host: TestHost) -> None:
+    def _restart_after_shutdown(self, host: TestHost) -> None:
         host.process.wait()
         host.dead = True
-        self._start_again(host)
+        self._restart(host)
 
-    def _start_again(self, host: TestHost) -> None:
-        self._deployment.past_hosts.append(host)
+    def _restart(self, host: TestHost) -> None:
+        self._deployment.former_hosts.append(host)
         self._deployment.add_host(host.number)
 
     def _cut_from_log(self) -> tuple[str, Heal] | None:
-        host = self._spare_host()
+        host = self._pick_healthy_host()
         if host is None:
             return None
         host.log_link.cut()
         return host.name, host.log_link.restore
 
     def _cut_upstream(self) -> tuple[str, Heal] | None:
-        upstream = self._spare_upstream()
+        upstream = self._pick_healthy_upstream()
         if upstream is None:
             return None
         upstream.link.cut()
         return upstream.name, upstream.link.restore
 
     def _stall_upstream(self) -> tuple[str, Heal] | None:
-        upstream = self._spare_upstream()
+        upstream = self._pick_healthy_upstream()
         if upstream is None:
             return None
-        way = self._random.choice(["stall_forward", "stall_backward"])
-        upstream.link.set(**{way: True})
+        direction = self._random.choice(["stall_forward", "stall_backward"])
+        upstream.link.set_faults(**{direction: True})
         return upstream.name, upstream.link.restore
 
     def _silence_upstream(self) -> tuple[str, Heal] | None:
-        upstream = self._spare_upstream()
+        upstream = self._pick_healthy_upstream()
         if upstream is None:
             return None
         upstream.link.silence()
@@ -142,15 +149,15 @@
 
     def _slow_services(self) -> tuple[str, Heal] | None:
         service = self._random.choice(self._deployment.services)
-        service.set_faults(slow_ms=SLOW_WORK_MS)
-        return "slow", lambda: service.set_faults(slow_ms=WORK_MS)
+        service.set_faults(slow_ms=SLOW_SERVICE_WORK_MS)
+        return "slow", lambda: service.set_faults(slow_ms=SERVICE_WORK_MS)
 
-    def _log_down(self) -> tuple[str, Heal] | None:
+    def _take_log_down(self) -> tuple[str, Heal] | None:
         platform = self._deployment
         platform.set_platform(down=True)
         return "log", lambda: platform.set_platform(down=False)
 
-    def _log_loses(self) -> tuple[str, Heal] | None:
+    def _lose_log_answers(self) -> tuple[str, Heal] | None:
         platform = self._deployment
         platform.set_platform(lose_answers="silent")
         return "log answers", lambda: platform.set_platform(lose_answers="no")
--- a/tests/scenarios/hosts.py
+++ b/tests/scenarios/hosts.py
@@ -8,19 +8,19 @@
 
 from balsamlift.testing import Process, start_host
 from scenarios import control
-from scenarios.background import Background
+from scenarios.background import BackgroundLoop
 from scenarios.links import TestLink
 
-DOMAINS = 3
+DOMAIN_COUNT = 3
 
 
-def domain_of(number: int) -> str:
-    return f"domain-{1 + (number - 1) % DOMAINS}"
+def failure_domain_of(number: int) -> str:
+    return f"domain-{1 + (number - 1) % DOMAIN_COUNT}"
 
 
 @attrs.frozen
-class PoolShape:
-    """What the hosts are told of the two pools."""
+class PoolOptions:
+    """How the settings of the hosts describe the two pools."""
 
     deterministic: bool = False
     checks_fence: bool = True
@@ -44,7 +44,7 @@
 
 @attrs.define(eq=False)
 class TestHost:
-    """A host under test with a link to each part of the platform."""
+    """A host under test with one link to the log and one to the host list."""
 
     __test__ = False
 
@@ -75,14 +75,14 @@
 
     @property
     def entry(self) -> dict[str, str]:
-        """Return its entry in the platform's list."""
+        """Return the entry of this host in the platform's list."""
         ready = self.process.ready
         return {
             "role": "entry",
             "address": ready["callers_address"],
             "operators_address": ready["operators_address"],
             "peers_address": ready["peers_address"],
-            "failure_domain": domain_of(self.number),
+            "failure_domain": failure_domain_of(self.number),
         }
 
     def status(self) -> dict[str, Any]:
@@ -98,26 +98,26 @@
         return answer
 
     def live_upstreams(self) -> int:
-        """Return how many upstreams it would give work."""
+        """Return how many upstreams this host sees as live."""
         try:
             return sum(u["state"] == "live" for u in self.upstreams())
         except OSError:
             return 0
 
-    def state_of(self, upstream: str) -> str:
-        """Return the state in which it sees an upstream."""
+    def upstream_state(self, upstream: str) -> str:
+        """Return the state of an upstream as this host sees it."""
         for row in self.upstreams():
             if row["name"] == upstream:
                 return str(row["state"])
         return ""
 
     def has_event(self, kind: str) -> bool:
-        """Tell whether its time line holds an event of that kind."""
+        """Return whether the timeline of this host has an event of `kind`."""
         path = f"/v1/timeline?kind={kind}"
         return bool(control.get(self.operators_address, path))
 
     def address_count(self) -> int:
-        """Return how many hosts it names to callers."""
+        """Return how many host addresses it returns to callers."""
         try:
             found = control.get(self.address, "/v1/addresses?workspace=w")
         except OSError:
@@ -125,7 +125,7 @@
         return len(found["addresses"])
 
     def key_prefix(self) -> str:
-        """Return the prefix of keys that this host is home to."""
+        """Return the prefix of the keys whose home is this host."""
         found = control.get(self.address, "/v1/addresses?workspace=w")
         for place in found["addresses"]:
             if place["host"] == self.name:
@@ -147,20 +147,20 @@
 
 
 def start(
-    background: Background,
+    background: BackgroundLoop,
     number: int,
     platform_address: str,
-    pools: PoolShape,
+    pools: PoolOptions,
     log_retention_ms: int,
     orders: dict[str, int],
 ) -> TestHost:
-    """Start host `number`; it is not yet in the platform's list."""
+    """Start host `number` without entering it in the platform's list."""
     log_link = TestLink(background, platform_address)
     list_link = TestLink(background, platform_address)
     ip = f"127.0.1.{number}"
     settings: dict[str, Any] = {
         "host": f"host-{number}",
-        "failure_domain": domain_of(number),
+        "failure_domain": failure_domain_of(number),
         "callers_address": f"{ip}:0",
         "operators_address": f"{ip}:0",
         "peers_address": f"{ip}:0",
--- a/tests/scenarios/links.py
+++ b/tests/scenarios/links.py
@@ -1,4 +1,4 @@
-"""Links that live in the test's own process, beside the callers."""
+"""Fault-injecting TCP links that run in the process of the test."""
 
 from __future__ import annotations
 
@@ -6,36 +6,37 @@
 
 from balsamlift.testing._link import Link
 from balsamlift.testing._settings import LinkSettings
-from scenarios.background import Background
+from scenarios.background import BackgroundLoop
 
 
 class TestLink:
-    """Relay one address, with faults that steps set.
+    """Forward connections to one address, with faults set by steps.
 
-    In this process rather than its own: a scenario has a dozen links.
+    Links run in this process because a scenario has a dozen of them; a
+    process for each would be too many.
     """
 
     __test__ = False
 
-    def __init__(self, background: Background, target: str) -> None:
+    def __init__(self, background: BackgroundLoop, target: str) -> None:
         self.target = target
         self._background = background
         self._link = background.run(self._start(target))
         self.address = str(self._link.ready()["address"])
 
-    def set(self, **faults: Any) -> None:
-        """Change only these faults."""
+    def set_faults(self, **faults: Any) -> None:
+        """Set the given faults and leave the others as they are."""
         self._background.run(self._update(faults))
 
     def cut(self) -> None:
-        self.set(cut=True)
+        self.set_faults(cut=True)
 
     def restore(self) -> None:
-        self.set(cut=False, stall_forward=False, stall_backward=False)
+        self.set_faults(cut=False, stall_forward=False, stall_backward=False)
 
     def silence(self) -> None:
-        """Make the connections that are open now silent for good."""
-        self.set(silence_existing=True)
+        """Stop all traffic on the open connections permanently."""
+        self.set_faults(silence_existing=True)
 
     def close(self) -> None:
         self._background.run(self._link.stop())
--- a/tests/scenarios/load.py
+++ b/tests/scenarios/load.py
@@ -1,11 +1,11 @@
-"""A steady load of calls beside the steps."""
+"""A steady load of calls that runs concurrently with the steps."""
 
 from __future__ import annotations
 
 import asyncio
 from concurrent.futures import Future
 
-from scenarios.background import PATIENCE_S, Background
+from scenarios.background import WAIT_TIMEOUT_S, BackgroundLoop
 from scenarios.callers import Call, RecordingClient, make_call
 
 ALL_KINDS = ("report", "tag", "lookup", "refund")
@@ -14,41 +14,42 @@
 
 
 class Load:
-    """Keep some callers busy, each with one call at a time.
+    """Run several callers, each with one call at a time.
 
-    Each caller keeps its client, and so its addresses, for good.
+    Each caller keeps its client, and with it the client's addresses, to the
+    end.
     """
 
     def __init__(
         self,
-        background: Background,
+        background: BackgroundLoop,
         addresses: list[str],
         kinds: tuple[str, ...],
         callers: int,
     ) -> None:
         self.calls: list[Call] = []
         self._kinds = kinds
-        self._ended = False
+        self._stopping = False
         self._futures: list[Future[None]] = [
-            background.begin(self._keep_asking(addresses, number))
+            background.submit(self._run_caller(addresses, number))
             for number in range(callers)
         ]
 
     @property
-    def told(self) -> list[Call]:
-        """Return the calls whose callers were told an outcome."""
+    def finished_calls(self) -> list[Call]:
+        """Return the calls whose callers received an outcome."""
         return [c for c in self.calls if c.done]
 
-    def end(self) -> None:
-        """Begin no call any more and wait for those that run."""
-        self._ended = True
+    def stop(self) -> None:
+        """Start no further calls and wait for the running ones."""
+        self._stopping = True
         for future in self._futures:
-            future.result(2 * PATIENCE_S)
+            future.result(2 * WAIT_TIMEOUT_S)
 
-    async def _keep_asking(self, addresses: list[str], number: int) -> None:
+    async def _run_caller(self, addresses: list[str], number: int) -> None:
         turn = number
         client: RecordingClient | None = None
-        while not self._ended:
+        while not self._stopping:
             kind = self._kinds[turn % len(self._kinds)]
             length = REPORT_TOKENS if kind == "report" else 0
             call = make_call(kind, 10_000 * (number + 1) + turn, length)
--- a/tests/scenarios/order_gate.py
+++ b/tests/scenarios/order_proxy.py
@@ -1,4 +1,4 @@
-"""Gates before engines, which hold one order on its way."""
+"""Proxies in front of engines that can delay one order."""
 
 from __future__ import annotations
 
@@ -9,30 +9,31 @@
 import attrs
 
 from balsamlift._address import split_address
-from scenarios.background import Background, wait_until
+from scenarios.background import BackgroundLoop, wait_until
 from scenarios.upstreams import StandIn
 
 _CHUNK_BYTES = 65_536
 _ORDER = b"POST /v1/orders "
 
 
-class OrderGates:
-    """Relay all that goes to the engines, but hold one order when told to.
+class OrderProxies:
+    """Forward all traffic to the engines and hold one order on request.
 
-    Hosts give each order over a connection of its own, so the first bytes
-    tell. An order that was held arrives even when its sender has gone.
+    Hosts send each order over a connection of its own, so the first bytes
+    of a connection identify it. A held order is delivered even if its
+    sender has closed the connection.
     """
 
-    def __init__(self, background: Background) -> None:
+    def __init__(self, background: BackgroundLoop) -> None:
         self._background = background
         self._armed = False
         self._held_for = ""
         self._released = asyncio.Event()
-        self._arrived = threading.Event()
+        self._delivered = threading.Event()
         self._servers: list[asyncio.Server] = []
 
     def add(self, engine: StandIn) -> str:
-        """Return the address of a new gate before this engine."""
+        """Start a proxy in front of this engine and return its address."""
         return self._background.run(self._listen(engine))
 
     def hold_next(self) -> None:
@@ -40,13 +41,13 @@
 
     def wait_held(self) -> str:
         """Return the name of the engine whose order is held."""
-        wait_until(lambda: bool(self._held_for), "an order is on its way")
+        wait_until(lambda: bool(self._held_for), "an order is held")
         return self._held_for
 
     def release(self) -> None:
-        """Let the order go on and wait until it has been answered."""
+        """Forward the held order and wait until the engine answers it."""
         self._background.loop.call_soon_threadsafe(self._released.set)
-        wait_until(self._arrived.is_set, "the held order arrives")
+        wait_until(self._delivered.is_set, "the engine answers the held order")
 
     def close(self) -> None:
         for server in self._servers:
@@ -64,28 +65,28 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        caller = _Ends(reader, writer)
+        caller = _Connection(reader, writer)
         first = await reader.read(_CHUNK_BYTES)
-        holds = self._armed and first.startswith(_ORDER)
-        if holds:
+        is_held = self._armed and first.startswith(_ORDER)
+        if is_held:
             self._armed = False
             self._held_for = engine.name
             await self._released.wait()
         ip, port = split_address(engine.process.address)
-        target = _Ends(*await asyncio.open_connection(ip, port))
+        target = _Connection(*await asyncio.open_connection(ip, port))
         try:
             target.writer.write(first)
             await asyncio.gather(
                 _copy(caller.reader, target.writer),
-                self._answer(target.reader, caller.writer, holds),
+                self._relay_answer(target.reader, caller.writer, is_held),
             )
         except OSError:
-            pass  # one way broken: a broken connection
+            pass  # an error in one direction ends both
         finally:
             caller.writer.transport.abort()
             target.writer.transport.abort()
 
-    async def _answer(
+    async def _relay_answer(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -93,13 +94,15 @@
     ) -> None:
         first = await reader.read(_CHUNK_BYTES)
         if was_held:
-            self._arrived.set()
+            self._delivered.set()
         writer.write(first)
         await _copy(reader, writer)
 
 
 @attrs.frozen
-class _Ends:
+class _Connection:
+    """The reader and writer of one TCP connection."""
+
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
--- a/tests/scenarios/presets.py
+++ b/tests/scenarios/presets.py
@@ -16,7 +16,7 @@
 
 
 def make_preset(name: str, **policy: Any) -> dict[str, Any]:
-    """Return a preset for the four kinds of request."""
+    """Return a raw preset with the four kinds of request."""
     return {
         "name": name,
         "kinds": KINDS,
--- a/tests/scenarios/retrying.py
+++ b/tests/scenarios/retrying.py
@@ -1,4 +1,4 @@
-"""Callers without the library that send one key to several hosts."""
+"""Send one key to several hosts without the client library."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 from scenarios.attempts import Attempt, send
 from scenarios.callers import WORKSPACE
 
-LONGEST_PAUSE_S = 0.4
+MAX_DELAY_S = 0.4
 
 
 @attrs.define(eq=False)
-class Retried:
-    """One request whose key was sent more than once."""
+class RetriedRequest:
+    """One request whose key was sent to several hosts."""
 
     attempts: list[Attempt] = attrs.field(factory=list)
 
     @property
     def is_homed(self) -> bool:
+        """Return whether the key names a home host."""
         return "." in self.key
 
     @property
@@ -29,14 +30,14 @@
         return self.attempts[0].key
 
     @property
-    def told(self) -> set[str]:
+    def reported_outcomes(self) -> set[str]:
         return {a.outcome for a in self.attempts}
 
 
-async def send_often(
+async def send_to_each(
     key: str, addresses: list[str], number: int, rng: random.Random
-) -> Retried:
-    """Send one refund to a host and, at random times, to the others."""
+) -> RetriedRequest:
+    """Send one refund to every address, at random delays after the first."""
     body: dict[str, Any] = {
         "key": key,
         "workspace": WORKSPACE,
@@ -44,12 +45,12 @@
         "payload": {"number": number},
         "deadline_ms": 10_000,
     }
-    retried = Retried([Attempt(key, "refund") for _ in addresses])
-    pauses = [0.0] + [rng.uniform(0, LONGEST_PAUSE_S) for _ in addresses[1:]]
+    retried = RetriedRequest([Attempt(key, "refund") for _ in addresses])
+    delays = [0.0] + [rng.uniform(0, MAX_DELAY_S) for _ in addresses[1:]]
 
-    async def send_late(place: int) -> None:
-        await asyncio.sleep(pauses[place])
-        await send(retried.attempts[place], addresses[place], body)
+    async def send_delayed(index: int) -> None:
+        await asyncio.sleep(delays[index])
+        await send(retried.attempts[index], addresses[index], body)
 
-    await asyncio.gather(*map(send_late, range(len(addresses))))
+    await asyncio.gather(*map(send_delayed, range(len(addresses))))
     return retried
--- a/tests/scenarios/steps.py
+++ b/tests/scenarios/steps.py
@@ -1,4 +1,4 @@
-"""All steps, as one pytest plugin."""
+"""Load the modules of common steps as pytest plugins."""
 
 pytest_plugins = (
     "scenarios.steps_attempts",
@@ -6,5 +6,5 @@
     "scenarios.steps_configuration",
     "scenarios.steps_faults",
     "scenarios.steps_load",
-    "scenarios.steps_world",
+    "scenarios.steps_deployment",
 )
--- a/tests/scenarios/upstreams.py
+++ b/tests/scenarios/upstreams.py
@@ -1,4 +1,4 @@
-"""Stand-ins of upstreams, each behind a link, and what they executed."""
+"""Stand-ins for upstreams, each behind a link, and their executions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from balsamlift.testing import Process, start_stand_in
 from scenarios import control
-from scenarios.background import Background, wait_until
+from scenarios.background import BackgroundLoop, wait_until
 from scenarios.links import TestLink
 from scenarios.presets import MODEL, VERSION
 
@@ -19,7 +19,7 @@
 
 @attrs.define(eq=False)
 class StandIn:
-    """One engine or service with the link before it."""
+    """A stand-in for an engine or service, reached through a link."""
 
     name: str
     kind: str  # "engine" or "service"
@@ -32,7 +32,7 @@
 
     @property
     def entry(self) -> dict[str, str]:
-        """Return its entry in the platform's list."""
+        """Return the entry of this upstream in the platform's list."""
         return {
             "role": "upstream",
             "pool": self.pool,
@@ -44,7 +44,7 @@
         control.set_faults(self.process.address, **faults)
 
     def executions(self) -> Counter[str]:
-        """Return how often each key was executed."""
+        """Return how often this stand-in executed each key."""
         if self.dead:
             return self.counts_at_death
         counts = control.get_counts(self.process.address)
@@ -54,18 +54,21 @@
         return sum(self.executions().values())
 
     def key_state(self, key: str) -> dict[str, Any]:
-        """Return what the stand-in itself says of a key."""
+        """Return the state of a key as the stand-in reports it."""
         state: dict[str, Any] = control.get(
             self.process.address, f"/v1/keys/{key}"
         )
         return state
 
     def is_done_with(self, key: str) -> bool:
-        """Tell whether a key neither runs nor is queued here."""
+        """Return whether a key is neither running nor queued here."""
         return self.dead or self.key_state(key)["state"] != "running"
 
     def kill(self) -> None:
-        """Kill it; cut the link first, so that the last counts are exact."""
+        """Cut the link, keep the final counts, then kill the process.
+
+        With the link cut first, no request arrives after the counts are read.
+        """
         self.link.cut()
         self.counts_at_death = self.executions()
         self.dead = True
@@ -77,8 +80,8 @@
 
 
 @attrs.frozen
-class EngineShape:
-    """What engines of one scenario have in common."""
+class EngineOptions:
+    """Options that all engines of a scenario share."""
 
     deterministic: bool = False
     memory_tokens: int = 65_536
@@ -90,7 +93,7 @@
 
 
 def start_engine(
-    number: int, shape: EngineShape, platform_address: str
+    number: int, options: EngineOptions, platform_address: str
 ) -> Process:
     return start_stand_in(
         "engine",
@@ -102,17 +105,17 @@
             "model": MODEL,
             "version": VERSION,
             "seed": number,
-            "deterministic": shape.deterministic,
-            "checks_fence": shape.checks_fence,
-            "model_load_ms": shape.model_load_ms,
+            "deterministic": options.deterministic,
+            "checks_fence": options.checks_fence,
+            "model_load_ms": options.model_load_ms,
             "platform_address": (
-                platform_address if shape.fetches_weights else ""
+                platform_address if options.fetches_weights else ""
             ),
             "load_lag_ms": 200,
             "parameters": {
-                "memory_tokens": shape.memory_tokens,
-                "step_base_ms": shape.step_base_ms,
-                "queue_limit": shape.queue_limit,
+                "memory_tokens": options.memory_tokens,
+                "step_base_ms": options.step_base_ms,
+                "queue_limit": options.queue_limit,
             },
         },
     )
@@ -131,7 +134,7 @@
 
 
 def put_behind_link(
-    background: Background, process: Process, kind: str, number: int
+    background: BackgroundLoop, process: Process, kind: str, number: int
 ) -> StandIn:
     return StandIn(
         name=f"{kind}-{number}",
@@ -143,8 +146,8 @@
     )
 
 
-def wait_settled(stand_ins: list[StandIn], keys: list[str]) -> None:
-    """Wait until none of the keys runs or is queued anywhere."""
+def wait_keys_done(stand_ins: list[StandIn], keys: list[str]) -> None:
+    """Wait until none of the keys is running or queued on any stand-in."""
     for stand_in in stand_ins:
         for key in keys:
             wait_until(
