--- a/models/__init__.py
+++ b/models/__init__.py
@@ -1,1 +1,1 @@
-"""Specifications for the model checker."""
+"""Specifications of the protocols, searched by the model checker."""
--- a/models/_lease_state.py
+++ b/models/_lease_state.py
@@ -1,50 +1,54 @@
-"""The states of the specification of the order lease."""
+"""State of the order lease specification.
+
+Offsets are normalised to their ranks, so that leases may follow one
+another without end in a finite state space.
+"""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-NOBODY = -1
+NO_HOLDER = -1
 HOSTS = (0, 1)
 
 
-# Named tuples, not attrs classes: the search hashes millions of them.
+# Named tuples instead of attrs classes: the search hashes millions of them.
 class Lease(NamedTuple):
-    """The lease record in force, as folded from the log."""
+    """Lease record in force, as folded from the log."""
 
     offset: int
     holder: int
-    generation: int  # in force at the record's own offset
+    generation: int  # preset generation in force at the record's offset
 
 
-class Attempt(NamedTuple):
-    """An append of a lease record that was begun."""
+class PendingAppend(NamedTuple):
+    """Append of a lease record that has not been read back yet."""
 
-    previous: int
-    left: int  # ticks of the term, counted from before the append
-    landed: bool
+    previous_offset: int
+    lease_ticks_left: int  # of the term that starts before the append
+    landed: bool  # the record is on the log
 
 
 class Order(NamedTuple):
-    """A wanted end state on its way to the engine."""
+    """Order in transit to the engine; it names a wanted end state."""
 
     fence: int
     generation: int
 
 
 class Host(NamedTuple):
-    """What one host knows."""
+    """Local knowledge of one host."""
 
-    known: Lease
+    known_lease: Lease
     generation: int
-    left: int  # ticks for which it believes to hold the lease
-    wait: int  # ticks until it may replace another's lease
-    read_began: int  # ticks left, counted from before the read
-    attempt: Attempt | None
+    lease_ticks_left: int  # for which it believes it holds the lease
+    takeover_wait_ticks: int  # until it may replace another's lease
+    read_ticks_left: int  # of the term that starts before the read
+    pending_append: PendingAppend | None
 
 
 class State(NamedTuple):
-    """The whole system."""
+    """State of the log, the hosts, the engine and routing."""
 
     lease: Lease
     generation: int
@@ -52,69 +56,73 @@
     orders: tuple[Order, ...]
     engine_generation: int
     engine_fence: int
-    report: int  # the engine's state as routing knows it
-    done: int  # newest generation whose order the engine accepted
+    reported_generation: int  # the engine's generation as routing knows it
+    newest_delivered: int  # newest generation that the engine accepted
     reverted: bool
-    two_givers: bool
+    ordered_during_other_lease: bool
     misrouted: bool
 
 
-NO_LEASE = Lease(0, NOBODY, 1)
-FIRST_HOST = Host(NO_LEASE, 1, 0, 0, 0, None)
-FIRST = State(
+NO_LEASE = Lease(0, NO_HOLDER, 1)
+INITIAL_HOST = Host(NO_LEASE, 1, 0, 0, 0, None)
+INITIAL_STATE = State(
     lease=NO_LEASE,
     generation=1,
-    hosts=(FIRST_HOST,) * len(HOSTS),
+    hosts=(INITIAL_HOST,) * len(HOSTS),
     orders=(),
     engine_generation=0,
     engine_fence=0,
-    report=0,
-    done=0,
+    reported_generation=0,
+    newest_delivered=0,
     reverted=False,
-    two_givers=False,
+    ordered_during_other_lease=False,
     misrouted=False,
 )
 
 
 def with_host(state: State, index: int, host: Host) -> State:
-    """Return the state with one host replaced."""
+    """Return a copy of the state with one host replaced."""
     hosts = list(state.hosts)
     hosts[index] = host
     return state._replace(hosts=tuple(hosts))
 
 
-def ranked(state: State) -> State:
-    """Replace each offset by its rank among those that still matter."""
-    found = {state.lease.offset, state.engine_fence}
-    found.update(order.fence for order in state.orders)
+def normalise_offsets(state: State) -> State:
+    """Replace each offset by its rank among the offsets still in use."""
+    offsets = {state.lease.offset, state.engine_fence}
+    offsets.update(order.fence for order in state.orders)
     for host in state.hosts:
-        found.add(host.known.offset)
-        if host.attempt is not None:
-            found.add(host.attempt.previous)
-    found.add(0)
-    ordered = sorted(found)
+        offsets.add(host.known_lease.offset)
+        if host.pending_append is not None:
+            offsets.add(host.pending_append.previous_offset)
+    offsets.add(0)
+    ordered = sorted(offsets)
     if ordered[-1] == len(ordered) - 1:
         return state
     rank = {offset: number for number, offset in enumerate(ordered)}
     return state._replace(
-        lease=_ranked_lease(state.lease, rank),
-        hosts=tuple(_ranked_host(host, rank) for host in state.hosts),
-        orders=tuple(_ranked_order(order, rank) for order in state.orders),
+        lease=_normalise_lease(state.lease, rank),
+        hosts=tuple(_normalise_host(host, rank) for host in state.hosts),
+        orders=tuple(_normalise_order(order, rank) for order in state.orders),
         engine_fence=rank[state.engine_fence],
     )
 
 
-def _ranked_lease(lease: Lease, rank: dict[int, int]) -> Lease:
+def _normalise_lease(lease: Lease, rank: dict[int, int]) -> Lease:
     return lease._replace(offset=rank[lease.offset])
 
 
-def _ranked_order(order: Order, rank: dict[int, int]) -> Order:
+def _normalise_order(order: Order, rank: dict[int, int]) -> Order:
     return order._replace(fence=rank[order.fence])
 
 
-def _ranked_host(host: Host, rank: dict[int, int]) -> Host:
-    attempt = host.attempt
-    if attempt is not None:
-        attempt = attempt._replace(previous=rank[attempt.previous])
-    known = _ranked_lease(host.known, rank)
-    return host._replace(known=known, attempt=attempt)
+def _normalise_host(host: Host, rank: dict[int, int]) -> Host:
+    pending_append = host.pending_append
+    if pending_append is not None:
+        pending_append = pending_append._replace(
+            previous_offset=rank[pending_append.previous_offset]
+        )
+    known_lease = _normalise_lease(host.known_lease, rank)
+    return host._replace(
+        known_lease=known_lease, pending_append=pending_append
+    )
--- a/models/_specification.py
+++ b/models/_specification.py
@@ -1,4 +1,4 @@
-"""Make a specification of one state, its steps and what must hold in it."""
+"""Build a model checker protocol from a state type, steps and invariants."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
     checks: Sequence[Callable[[S], bool]],
     goal: Callable[[S], bool] | None = None,
 ) -> Protocol:
-    """Return the specification for the checker.
+    """Return the protocol for the model checker.
 
-    Each check has to hold in each state, and is known by its name. The goal,
-    if any, has to come true in the end.
+    Each check is an invariant of every state, reported under its function
+    name. The goal, if any, is a liveness property: it has to come true
+    eventually.
     """
 
     def transitions(state: tuple[S]) -> list[tuple[str, tuple[S]]]:
         return [(label, (after,)) for label, after in steps(state[0])]
 
-    def on_state(check: Callable[[S], bool]) -> Callable[[Any], bool]:
+    def as_invariant(check: Callable[[S], bool]) -> Callable[[Any], bool]:
         return lambda fields: check(fields["state"])
 
     return Protocol(
@@ -35,6 +36,6 @@
         fields=("state",),
         initial=(initial,),
         transitions=transitions,
-        invariants={check.__name__: on_state(check) for check in checks},
-        goal=on_state(goal) if goal is not None else None,
+        invariants={check.__name__: as_invariant(check) for check in checks},
+        goal=as_invariant(goal) if goal is not None else None,
     )
--- a/models/_verdict.py
+++ b/models/_verdict.py
@@ -14,28 +14,28 @@
 
 @attrs.frozen(kw_only=True)
 class Verdict:
-    """Hold what one exhaustive search found."""
+    """Result of one search of the state space."""
 
     name: str
     states: int
     exhaustive: bool
-    violated: dict[str, tuple[str, ...]]  # property: labels of the trace
+    violated: dict[str, tuple[str, ...]]  # property -> labels of the trace
     elapsed_s: float
 
     @property
     def holds(self) -> bool:
-        """Tell whether all states were seen and all properties hold."""
+        """Return whether all states were visited and all properties hold."""
         return self.exhaustive and not self.violated
 
 
 def search(protocol: Protocol, max_states: int = MAX_STATES) -> Verdict:
-    """Check the invariants and, where there is one, the goal.
+    """Check the invariants and, if the protocol has one, the goal.
 
-    The goal is checked only when the invariants hold; the checker bounds
+    The goal is checked only when the invariants hold. The checker limits
     that second search to 200,000 states.
     """
-    began_s = time.perf_counter()
-    protocol = _remembering(protocol)
+    started_s = time.perf_counter()
+    protocol = _with_cached_successors(protocol)
     result = check_safety(protocol, max_states)
     violated = _violations(result["properties"])
     exhaustive = bool(result["exhaustive"])
@@ -49,17 +49,17 @@
         states=result["reachable_states"],
         exhaustive=exhaustive,
         violated=violated,
-        elapsed_s=time.perf_counter() - began_s,
+        elapsed_s=time.perf_counter() - started_s,
     )
 
 
 def describe(verdict: Verdict) -> str:
-    """Return one line, and one more per counterexample."""
-    word = "holds" if verdict.holds else "unfinished"
+    """Format a verdict as one line plus one line per counterexample."""
+    status = "holds" if verdict.holds else "unfinished"
     if verdict.violated:
-        word = "counterexample"
+        status = "counterexample"
     lines = [
-        f"{verdict.name}: {word}, {verdict.states} states, "
+        f"{verdict.name}: {status}, {verdict.states} states, "
         f"{verdict.elapsed_s:.1f} s"
     ]
     for name, labels in verdict.violated.items():
@@ -67,18 +67,18 @@
     return "\n".join(lines)
 
 
-def _remembering(protocol: Protocol) -> Protocol:
-    """Return the protocol with each state's successors worked out once.
+def _with_cached_successors(protocol: Protocol) -> Protocol:
+    """Return the protocol with the successors of each state cached.
 
-    The check of the goal goes over all states twice more.
+    The liveness check visits all states twice more.
     """
-    kept: dict[tuple[Any, ...], tuple[Any, ...]] = {}
+    canonical_states: dict[tuple[Any, ...], tuple[Any, ...]] = {}
     successors: dict[tuple[Any, ...], list[Any]] = {}
 
     def transitions(state: tuple[Any, ...]) -> list[Any]:
         if state not in successors:
             successors[state] = [
-                (label, kept.setdefault(after, after))
+                (label, canonical_states.setdefault(after, after))
                 for label, after in protocol.transitions(state)
             ]
         return successors[state]
--- a/models/platform_view.py
+++ b/models/platform_view.py
@@ -1,9 +1,9 @@
-"""Specification of what a host believes of the platform, and for how long.
+"""Specification of a host's view of the platform and how long it is valid.
 
 Two hosts follow one record of operators and the entry of one upstream. The
-store turns hosts away, is down, answers late, and lets entries lapse while it
-is down. A peer passes on what it reads. Time moves in ticks; a host that can
-read does so within one.
+store refuses hosts, is down, answers late, and lets entries expire while it
+is down. A peer forwards what it reads. Time advances in ticks; a host that
+can read does so within one.
 """
 
 from __future__ import annotations
@@ -19,49 +19,49 @@
 
 LAST_VERSION = 2
 LAST_TICK = 6
-LEAVING_BOUND = 2  # ticks until no host sends new work
-RETURN_TICKS = 1  # that a lapsed entry has to come back
-MARK_TICKS = 1  # that a peer's word counts against the list
+MAX_LEAVING_TICKS = 2  # after which no host sends new work
+RETURN_GRACE_TICKS = 1  # for an expired entry to come back
+LEAVING_MARK_TICKS = 1  # a peer's mark overrides the list
 
 Listed = Literal["live", "leaving", "none"]
 
 
 @attrs.frozen(kw_only=True)
 class Guards:
-    """Switch single guards off, to show that each is needed."""
+    """Safeguards of the protocol; a broken variant disables one of them."""
 
-    only_newer: bool = True
-    peers_tell_version: bool = True
-    peers_tell_leaving: bool = True
+    only_newer_versions_accepted: bool = True
+    peers_send_version: bool = True
+    peers_send_leaving: bool = True
     lapsed_may_return: bool = True
-    list_outlives_peers: bool = True
+    list_overrides_peers: bool = True
 
 
 class Host(NamedTuple):
-    """What one host knows; host 0 may be turned away, host 1 reads."""
+    """View of one host; the store may refuse host 0, and host 1 reads."""
 
     version: int = 0
-    reading: int | None = None  # a read under way holds this version
+    pending_read: int | None = None  # version in a read in progress
     listed: Listed = "live"  # as last read
-    mark_age: int | None = None  # of a peer's word that it is leaving
-    missing: int | None = None  # ticks that the entry is not listed
-    regressed: bool = False
+    leaving_mark_ticks: int | None = None  # age of a peer's mark
+    missing_ticks: int | None = None  # that the entry is not listed
+    has_regressed: bool = False
 
 
 class State(NamedTuple):
-    """The whole system."""
+    """State of the store, the upstream and both hosts."""
 
     tick: int = 0
     version: int = 0
     store_up: bool = True
-    turned_away: bool = False  # host 0
+    host_0_refused: bool = False  # by the store
     listed: Listed = "live"  # in the store
     alive: bool = True
     lapsed: bool = False
-    up_for: int = RETURN_TICKS + 1  # ticks since the store is back
-    left_for: int = 0  # ticks since the store said that it leaves
-    listed_for: int = 0  # ticks that the list shows it live, undisturbed
-    behind_for: int = 0  # ticks that host 0 lags though host 1 does not
+    store_up_ticks: int = RETURN_GRACE_TICKS + 1  # since the store is back
+    leaving_ticks: int = 0  # since the store lists it as leaving
+    listed_ticks: int = 0  # listed as live without a fault
+    behind_ticks: int = 0  # host 0 lags behind host 1
     hosts: tuple[Host, Host] = (Host(), Host())
 
 
@@ -69,101 +69,125 @@
 
 
 def steps(state: State, guards: Guards) -> Steps:
-    """Yield every step that may come next."""
+    """Yield the label and the state of every possible next step."""
     if state.tick < LAST_TICK:
         yield "tick", _tick(state, guards)
     if state.version < LAST_VERSION and state.store_up:
         yield "publish", state._replace(version=state.version + 1)
     yield from _store_steps(state)
     for index, host in enumerate(state.hosts):
-        if _reads(state, index) and host.reading is None:
-            begun = host._replace(reading=state.version)
-            yield f"{index} begins a read", _with_host(state, index, begun)
-        if host.reading is not None:
-            ended = _take(host, host.reading, guards)._replace(reading=None)
-            yield f"{index} ends it", _with_host(state, index, ended)
+        if _can_read(state, index) and host.pending_read is None:
+            started = host._replace(pending_read=state.version)
+            yield (
+                f"host {index} begins a read",
+                _with_host(state, index, started),
+            )
+        if host.pending_read is not None:
+            finished = _accept_version(
+                host, host.pending_read, guards
+            )._replace(pending_read=None)
+            yield (
+                f"host {index} ends its read",
+                _with_host(state, index, finished),
+            )
 
 
 def _store_steps(state: State) -> Steps:
     if state.store_up and state.lapsed:
-        # Early or late: it may reach the store a while after others do.
-        back = state._replace(listed="live", lapsed=False, listed_for=0)
-        yield "entry returns", back
+        # Early or late: the entry may reach the store a while after
+        # other entries do.
+        returned = state._replace(listed="live", lapsed=False, listed_ticks=0)
+        yield "entry returns", returned
     if state.store_up and state.listed == "live":
-        left = state._replace(listed="leaving", alive=False, left_for=0)
-        yield "upstream leaves", left
+        leaving = state._replace(
+            listed="leaving", alive=False, leaving_ticks=0
+        )
+        yield "upstream leaves", leaving
     if state.tick >= LAST_TICK - 3:
-        return  # faults early, so that their bounds are seen
+        return  # faults come early, so that their time limits are reached
     if state.store_up:
-        yield "store down", state._replace(store_up=False, listed_for=0)
-        if not state.turned_away and not state.lapsed:
-            yield "turned away", state._replace(turned_away=True)
+        yield "store down", state._replace(store_up=False, listed_ticks=0)
+        if not state.host_0_refused and not state.lapsed:
+            yield "host 0 refused", state._replace(host_0_refused=True)
     else:
-        yield "store back", state._replace(store_up=True, up_for=0)
+        yield "store back", state._replace(store_up=True, store_up_ticks=0)
         if state.listed == "live":
             lapsed = state._replace(listed="none", lapsed=True)
             yield "entry lapses", lapsed
 
 
 def _tick(state: State, guards: Guards) -> State:
-    """Let a tick pass, in which every host that can read has read."""
+    """Advance by one tick, in which every host that can read has read."""
     hosts = list(state.hosts)
     for index, host in enumerate(hosts):
-        if _reads(state, index):
-            host = _take(host, state.version, guards)
-            host = host._replace(listed=state.listed, missing=None)
-        hosts[index] = _age(host, state, index, guards)
-    hosts[0] = _hear(hosts[0], hosts[1], state, guards)
+        if _can_read(state, index):
+            host = _accept_version(host, state.version, guards)
+            host = host._replace(listed=state.listed, missing_ticks=None)
+        hosts[index] = _age_leaving_mark(host, state, index, guards)
+    hosts[0] = _apply_peer_report(hosts[0], hosts[1], state, guards)
     after = state._replace(
         tick=state.tick + 1,
         hosts=(hosts[0], hosts[1]),
-        up_for=state.up_for + 1 if state.store_up else 0,
-        left_for=state.left_for + (state.listed == "leaving"),
+        store_up_ticks=state.store_up_ticks + 1 if state.store_up else 0,
+        leaving_ticks=state.leaving_ticks + (state.listed == "leaving"),
     )
-    calm = state.store_up and not state.turned_away
-    live = state.listed == "live" and calm
-    lags = hosts[0].version < hosts[1].version
+    undisturbed = state.store_up and not state.host_0_refused
+    live = state.listed == "live" and undisturbed
+    is_behind = hosts[0].version < hosts[1].version
     return after._replace(
-        listed_for=state.listed_for + 1 if live else 0,
-        behind_for=state.behind_for + 1 if lags else 0,
+        listed_ticks=state.listed_ticks + 1 if live else 0,
+        behind_ticks=state.behind_ticks + 1 if is_behind else 0,
     )
 
 
-def _hear(told: Host, teller: Host, state: State, guards: Guards) -> Host:
-    """Return host 0 after what host 1 passed on to it."""
-    if guards.peers_tell_version:
-        told = _take(told, teller.version, guards)
-    leaving = teller.listed == "leaving"
-    if leaving and guards.peers_tell_leaving and told.mark_age is None:
-        told = told._replace(mark_age=0)
-    # An entry that comes back too late was taken for gone, and told so.
-    gone = teller.listed == "none" and state.up_for > RETURN_TICKS
-    if gone and state.store_up and told.mark_age is None:
-        told = told._replace(mark_age=0)
-    return told
+def _apply_peer_report(
+    receiver: Host, sender: Host, state: State, guards: Guards
+) -> Host:
+    """Return host 0 after what host 1 forwarded to it."""
+    if guards.peers_send_version:
+        receiver = _accept_version(receiver, sender.version, guards)
+    leaving = sender.listed == "leaving"
+    if (
+        leaving
+        and guards.peers_send_leaving
+        and receiver.leaving_mark_ticks is None
+    ):
+        receiver = receiver._replace(leaving_mark_ticks=0)
+    # The sender treats an entry that comes back too late as gone and
+    # reports it as such.
+    gone = (
+        sender.listed == "none" and state.store_up_ticks > RETURN_GRACE_TICKS
+    )
+    if gone and state.store_up and receiver.leaving_mark_ticks is None:
+        receiver = receiver._replace(leaving_mark_ticks=0)
+    return receiver
 
 
-def _age(host: Host, state: State, index: int, guards: Guards) -> Host:
-    if host.mark_age is None:
+def _age_leaving_mark(
+    host: Host, state: State, index: int, guards: Guards
+) -> Host:
+    if host.leaving_mark_ticks is None:
         return host
-    is_listed = host.listed == "live" and _reads(state, index)
-    is_old = host.mark_age >= MARK_TICKS
-    if is_listed and is_old and guards.list_outlives_peers:
-        return host._replace(mark_age=None)
-    return host._replace(mark_age=min(host.mark_age + 1, LAST_TICK))
+    is_listed = host.listed == "live" and _can_read(state, index)
+    is_old = host.leaving_mark_ticks >= LEAVING_MARK_TICKS
+    if is_listed and is_old and guards.list_overrides_peers:
+        return host._replace(leaving_mark_ticks=None)
+    return host._replace(
+        leaving_mark_ticks=min(host.leaving_mark_ticks + 1, LAST_TICK)
+    )
 
 
-def _take(host: Host, version: int, guards: Guards) -> Host:
-    if version <= host.version and guards.only_newer:
+def _accept_version(host: Host, version: int, guards: Guards) -> Host:
+    if version <= host.version and guards.only_newer_versions_accepted:
         return host
-    went_back = version < host.version
+    is_older = version < host.version
     return host._replace(
-        version=version, regressed=host.regressed or went_back
+        version=version, has_regressed=host.has_regressed or is_older
     )
 
 
-def _reads(state: State, index: int) -> bool:
-    return state.store_up and not (index == 0 and state.turned_away)
+def _can_read(state: State, index: int) -> bool:
+    return state.store_up and not (index == 0 and state.host_0_refused)
 
 
 def _with_host(state: State, index: int, host: Host) -> State:
@@ -173,47 +197,51 @@
 
 
 def sends_work(state: State, host: Host, guards: Guards) -> bool:
-    """Tell whether a host gives the upstream new work."""
-    if host.mark_age is not None:
+    """Return whether a host sends the upstream new work."""
+    if host.leaving_mark_ticks is not None:
         return False
     if host.listed == "none":
-        may_return = state.up_for <= RETURN_TICKS or not state.store_up
+        may_return = (
+            state.store_up_ticks <= RETURN_GRACE_TICKS or not state.store_up
+        )
         return guards.lapsed_may_return and may_return
     return host.listed == "live"
 
 
 def never_goes_back(state: State) -> bool:
-    """Tell whether no host went to an older version."""
-    return not any(host.regressed for host in state.hosts)
+    """Return whether no host went back to an older version."""
+    return not any(host.has_regressed for host in state.hosts)
 
 
 def follows(state: State) -> bool:
-    """Tell whether a host that was turned away follows its peer."""
-    return state.behind_for <= 1
+    """Return whether a host that the store refuses follows its peer."""
+    return state.behind_ticks <= 1
 
 
-def view(name: str, guards: Guards) -> Protocol:
-    """Return the specification for the checker."""
+def protocol(name: str, guards: Guards) -> Protocol:
+    """Return the protocol with these guards for the model checker."""
 
     def leaves_in_time(state: State) -> bool:
-        """Tell whether new work stopped in time, at hosts that can know."""
-        if state.left_for <= LEAVING_BOUND or not state.store_up:
+        """Return whether new work stopped in time on hosts that can know."""
+        if state.leaving_ticks <= MAX_LEAVING_TICKS or not state.store_up:
             return True
-        return not any(sends_work(state, h, guards) for h in state.hosts)
+        return not any(sends_work(state, host, guards) for host in state.hosts)
 
     def lapsed_is_kept(state: State) -> bool:
-        """Tell whether a live upstream is used while it may come back."""
-        waits = state.lapsed and state.up_for <= RETURN_TICKS
+        """Return whether an expired upstream is used while it may return."""
+        within_grace = (
+            state.lapsed and state.store_up_ticks <= RETURN_GRACE_TICKS
+        )
         reader = state.hosts[1]
-        if not waits or reader.mark_age is not None:
+        if not within_grace or reader.leaving_mark_ticks is not None:
             return True
         return sends_work(state, reader, guards)
 
     def comes_back(state: State) -> bool:
-        """Tell whether an upstream that is listed again gets work again."""
-        if state.listed_for <= MARK_TICKS + 1:
+        """Return whether an upstream that is listed again gets new work."""
+        if state.listed_ticks <= LEAVING_MARK_TICKS + 1:
             return True
-        return all(sends_work(state, h, guards) for h in state.hosts)
+        return all(sends_work(state, host, guards) for host in state.hosts)
 
     checks = (
         never_goes_back,
@@ -226,19 +254,19 @@
 
 
 BROKEN = {
-    "older versions taken": Guards(only_newer=False),
-    "peers tell no version": Guards(peers_tell_version=False),
-    "peers tell no leaving": Guards(peers_tell_leaving=False),
+    "older versions taken": Guards(only_newer_versions_accepted=False),
+    "peers tell no version": Guards(peers_send_version=False),
+    "peers tell no leaving": Guards(peers_send_leaving=False),
     "lapsed entries dropped at once": Guards(lapsed_may_return=False),
-    "a peer's word outlives the list": Guards(list_outlives_peers=False),
+    "a peer's word outlives the list": Guards(list_overrides_peers=False),
 }
 
 
 def sound_verdict() -> Verdict:
-    """Check the specification with every guard."""
-    return search(view("platform view", Guards()))
+    """Search all states of the specification with every guard."""
+    return search(protocol("platform view", Guards()))
 
 
 def broken_verdict(name: str) -> Verdict:
-    """Check one broken variant."""
-    return search(view(name, BROKEN[name]))
+    """Search the states of one broken variant."""
+    return search(protocol(name, BROKEN[name]))
--- a/models/preset_fold.py
+++ b/models/preset_fold.py
@@ -1,11 +1,11 @@
 """Specification of the fold of the log into the preset in force.
 
-Two operators race to switch; two hosts read the log, are paused, replaced
-by newcomers, append checkpoints that may be stale, and take over each
-other's folds. The log forgets its oldest records at any moment, loses
-answers, and lets appends take effect late. Any step may be put off for any
-time: that is how pauses and outages appear here. All presets count as
-published; a preset is named by the operator that wants it.
+Two operators race to switch. Two hosts read the log, are paused, are
+replaced by hosts with empty folds, append checkpoints that may be stale,
+and adopt each other's folds. The log drops its oldest records at any
+moment, loses answers, and lets appends take effect late. Any step may be
+delayed for any time, which models pauses and outages. All presets count as
+published; a preset is named by the operator that switches to it.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 from models._verdict import Verdict, describe, search
 
-BROKEN_STATES = (1_000, 8_000, 64_000, 512_000)  # wider and wider
+BROKEN_STATES = (1_000, 8_000, 64_000, 512_000)  # limits tried in turn
 OPERATORS = (0, 1)
 HOSTS = (0, 1)
-NOBODY = -1
+NO_PRESET = -1
 
 Steps = Iterator[tuple[str, "State"]]
 Phase = Literal[
@@ -36,28 +36,28 @@
     "unknown",
     "failed",
 ]
-Verdicts = tuple[tuple[int, str], ...]  # (operation, what became of it)
+Verdicts = tuple[tuple[int, str], ...]  # (operation, verdict)
 
 
 @attrs.frozen(kw_only=True)
 class Guards:
-    """Switch single guards off, to show that each is needed."""
+    """Safeguards of the protocol; a broken variant disables one of them."""
 
-    log_limit: int = 3  # records
-    generation_expected: bool = True
+    log_limit: int = 3  # records; bounds the state space
+    expected_generation_checked: bool = True
     operation_folded_once: bool = True
-    checkpoint_reaches_back: bool = True
-    checkpoint_never_sets_back: bool = True
-    gap_noticed: bool = True
-    only_further_adopted: bool = True
-    told_when_folded: bool = True
-    lost_is_unknown: bool = True
-    appended_once: bool = True
+    checkpoint_must_cover_gap: bool = True
+    checkpoint_never_rewinds: bool = True
+    gap_detected: bool = True
+    only_newer_fold_adopted: bool = True
+    reported_after_fold: bool = True
+    lost_answer_is_unknown: bool = True
+    operation_appended_once: bool = True
 
 
-# Named tuples, not attrs classes: the search hashes millions of them.
+# Named tuples instead of attrs classes: the search hashes millions of them.
 class Fold(NamedTuple):
-    """What a reader has made of the log before `offset`."""
+    """Result of folding the log up to `offset`, exclusive."""
 
     offset: int
     generation: int
@@ -66,7 +66,7 @@
 
 
 class Switch(NamedTuple):
-    """A record: put the operator's preset in force."""
+    """Log record that puts the operator's preset in force."""
 
     operation: int
     operator: int
@@ -74,63 +74,68 @@
 
 
 class Checkpoint(NamedTuple):
-    """A record: the state before `fold.offset`."""
+    """Log record of the state before `fold.offset`."""
 
     fold: Fold
 
 
 class Operator(NamedTuple):
-    """One operator and the append that it began."""
+    """State of one operator and of its append."""
 
     phase: Phase
     expected: int
-    is_late: bool  # the append is still to take effect
+    is_late: bool  # the append has yet to take effect
 
 
 class Host(NamedTuple):
-    """One host: its fold and the newest generation it had in force."""
+    """Fold of one host and the newest generation it had in force."""
 
     fold: Fold
-    newest: int
+    newest_generation: int
 
 
 class State(NamedTuple):
-    """One state of the search."""
+    """State of the log, the operators and the hosts."""
 
     log: tuple[Switch | Checkpoint, ...]
     earliest: int
     operators: tuple[Operator, ...]
     hosts: tuple[Host, ...]
-    captured: Fold | None  # by host 0, for a checkpoint yet to be appended
-    repeated: bool  # the log took one record twice
+    pending_checkpoint: Fold | None  # captured by host 0
+    repeated: bool  # the log has one record twice
 
 
-EMPTY = Fold(0, 0, NOBODY, ())
+EMPTY = Fold(0, 0, NO_PRESET, ())
 INITIAL = State(
     log=(),
     earliest=0,
     operators=tuple(Operator("idle", 0, False) for _ in OPERATORS),
     hosts=tuple(Host(EMPTY, 0) for _ in HOSTS),
-    captured=None,
+    pending_checkpoint=None,
     repeated=False,
 )
 CORRECT = Guards()
 
 
-def fold_next(fold: Fold, record: Switch | Checkpoint, guards: Guards) -> Fold:
-    """Return the fold with one more record."""
+def fold_record(
+    fold: Fold, record: Switch | Checkpoint, guards: Guards
+) -> Fold:
+    """Return the fold after one more record."""
     offset = fold.offset + 1
     if isinstance(record, Checkpoint):
-        if guards.checkpoint_never_sets_back:
+        if guards.checkpoint_never_rewinds:
             return fold._replace(offset=offset)
         return record.fold._replace(offset=offset)
     known = dict(fold.verdicts)
     if guards.operation_folded_once and record.operation in known:
         return fold._replace(offset=offset)
-    wins = record.expected == fold.generation or not guards.generation_expected
-    known[record.operation] = "accepted" if wins else "superseded"
+    is_accepted = (
+        record.expected == fold.generation
+        or not guards.expected_generation_checked
+    )
+    known[record.operation] = "accepted" if is_accepted else "superseded"
     verdicts = tuple(sorted(known.items()))
-    if not wins:
+    if not is_accepted:
         return Fold(offset, fold.generation, fold.preset, verdicts)
     return Fold(offset, fold.generation + 1, record.operator, verdicts)
 
@@ -142,23 +147,23 @@
     """Return the fold of a whole log."""
     if not log:
         return EMPTY
-    return fold_next(fold_all(log[:-1], guards), log[-1], guards)
+    return fold_record(fold_all(log[:-1], guards), log[-1], guards)
 
 
-def read_once(state: State, fold: Fold, guards: Guards) -> Iterator[Fold]:
-    """Yield what a reader may make of its next read."""
+def possible_reads(state: State, fold: Fold, guards: Guards) -> Iterator[Fold]:
+    """Yield every fold that a reader may have after its next read."""
     if fold.offset >= state.earliest:
         if fold.offset < len(state.log):
-            yield fold_next(fold, state.log[fold.offset], guards)
+            yield fold_record(fold, state.log[fold.offset], guards)
         return
-    if not guards.gap_noticed and state.earliest < len(state.log):
+    if not guards.gap_detected and state.earliest < len(state.log):
         skipped = fold._replace(offset=state.earliest)
-        yield fold_next(skipped, state.log[state.earliest], guards)
+        yield fold_record(skipped, state.log[state.earliest], guards)
     for offset in range(state.earliest, len(state.log)):
         record = state.log[offset]
         if not isinstance(record, Checkpoint):
             continue
-        if not guards.checkpoint_reaches_back:
+        if not guards.checkpoint_must_cover_gap:
             yield record.fold._replace(offset=offset + 1)
         elif record.fold.offset >= state.earliest:
             yield record.fold
@@ -172,176 +177,212 @@
     return state._replace(log=(*state.log, record))
 
 
-def _with_operator(state: State, i: int, operator: Operator) -> State:
+def _with_operator(state: State, index: int, operator: Operator) -> State:
     operators = list(state.operators)
-    operators[i] = operator
+    operators[index] = operator
     return state._replace(operators=tuple(operators))
 
 
-def _with_host(state: State, i: int, host: Host) -> State:
+def _with_host(state: State, index: int, host: Host) -> State:
     hosts = list(state.hosts)
-    hosts[i] = host
+    hosts[index] = host
     return state._replace(hosts=tuple(hosts))
 
 
-def _operator_steps(state: State, i: int, guards: Guards) -> Steps:
-    operator = state.operators[i]
+def _operator_steps(state: State, index: int, guards: Guards) -> Steps:
+    operator = state.operators[index]
     if operator.phase == "idle":
         expected = fold_all(state.log, guards).generation
         read = Operator("read", expected, False)
-        yield f"operator {i} reads", _with_operator(state, i, read)
+        yield f"operator {index} reads", _with_operator(state, index, read)
     if operator.phase == "read":
-        yield from _append_steps(state, i, guards)
+        yield from _append_steps(state, index, guards)
     if operator.phase in ("appended", "lost"):
-        yield from _conclusions(state, i, guards)
+        yield from _outcome_steps(state, index, guards)
     if operator.is_late:
-        arrived = _append(state, Switch(i, i, operator.expected), guards)
-        if arrived is not None:
-            on_log = operator._replace(is_late=False)
+        appended = _append(
+            state, Switch(index, index, operator.expected), guards
+        )
+        if appended is not None:
+            operator_done = operator._replace(is_late=False)
             yield (
-                f"append of {i} takes effect late",
-                _with_operator(arrived, i, on_log),
+                f"append of {index} takes effect late",
+                _with_operator(appended, index, operator_done),
             )
 
 
-def _append_steps(state: State, i: int, guards: Guards) -> Steps:
-    expected = state.operators[i].expected
-    # One that never takes effect is one whose effect is put off for ever.
+def _append_steps(state: State, index: int, guards: Guards) -> Steps:
+    expected = state.operators[index].expected
+    # An append that never takes effect is one delayed for ever.
     late = Operator("lost", expected, True)
-    yield f"append of {i} unanswered", _with_operator(state, i, late)
-    appended = _append(state, Switch(i, i, expected), guards)
+    yield f"append of {index} unanswered", _with_operator(state, index, late)
+    appended = _append(state, Switch(index, index, expected), guards)
     if appended is not None:
         done = Operator("appended", expected, False)
-        yield f"append of {i} answered", _with_operator(appended, i, done)
+        yield (
+            f"append of {index} answered",
+            _with_operator(appended, index, done),
+        )
 
 
-def _conclusions(state: State, i: int, guards: Guards) -> Steps:
-    operator = state.operators[i]
-    verdict = dict(fold_all(state.log, guards).verdicts).get(i)
+def _outcome_steps(state: State, index: int, guards: Guards) -> Steps:
+    operator = state.operators[index]
+    verdict = dict(fold_all(state.log, guards).verdicts).get(index)
     if verdict in ("accepted", "superseded"):
         phase: Phase = "accepted" if verdict == "accepted" else "superseded"
-        told = operator._replace(phase=phase)
-        yield f"operator {i} told {verdict}", _with_operator(state, i, told)
-    if operator.phase == "appended" and not guards.told_when_folded:
-        told = operator._replace(phase="accepted")
-        yield f"operator {i} told too early", _with_operator(state, i, told)
+        informed = operator._replace(phase=phase)
+        yield (
+            f"operator {index} told {verdict}",
+            _with_operator(state, index, informed),
+        )
+    if operator.phase == "appended" and not guards.reported_after_fold:
+        informed = operator._replace(phase="accepted")
+        yield (
+            f"operator {index} told too early",
+            _with_operator(state, index, informed),
+        )
     if operator.phase == "lost":
-        yield from _lost_steps(state, i, guards)
+        yield from _lost_steps(state, index, guards)
 
 
-def _lost_steps(state: State, i: int, guards: Guards) -> Steps:
-    operator = state.operators[i]
-    given_up: Phase = "unknown" if guards.lost_is_unknown else "failed"
-    told = operator._replace(phase=given_up)
-    yield f"operator {i} told {given_up}", _with_operator(state, i, told)
-    if guards.appended_once:
+def _lost_steps(state: State, index: int, guards: Guards) -> Steps:
+    operator = state.operators[index]
+    final_phase: Phase = (
+        "unknown" if guards.lost_answer_is_unknown else "failed"
+    )
+    informed = operator._replace(phase=final_phase)
+    yield (
+        f"operator {index} told {final_phase}",
+        _with_operator(state, index, informed),
+    )
+    if guards.operation_appended_once:
         return
-    again = i + len(OPERATORS)  # a new operation of the same operator
+    second_operation = index + len(
+        OPERATORS
+    )  # a new operation of the same operator
     expected = fold_all(state.log, guards).generation
-    appended = _append(state, Switch(again, i, expected), guards)
+    appended = _append(
+        state, Switch(second_operation, index, expected), guards
+    )
     if appended is not None:
-        told = operator._replace(phase="unknown")
+        informed = operator._replace(phase="unknown")
         yield (
-            f"operator {i} appends again",
-            _with_operator(appended, i, told),
+            f"operator {index} appends again",
+            _with_operator(appended, index, informed),
         )
 
 
-def _host_steps(state: State, i: int, guards: Guards) -> Steps:
-    host = state.hosts[i]
-    for fold in read_once(state, host.fold, guards):
-        yield f"host {i} reads", _moved(state, i, fold)
+def _host_steps(state: State, index: int, guards: Guards) -> Steps:
+    host = state.hosts[index]
+    for fold in possible_reads(state, host.fold, guards):
+        yield f"host {index} reads", _with_fold(state, index, fold)
     for peer in HOSTS:
-        theirs = state.hosts[peer].fold
-        is_further = theirs.offset > host.fold.offset
-        if is_further or not guards.only_further_adopted:
-            yield f"host {i} asks {peer}", _moved(state, i, theirs)
-    yield f"host {i} replaced", _with_host(state, i, Host(EMPTY, 0))
+        peer_fold = state.hosts[peer].fold
+        is_newer = peer_fold.offset > host.fold.offset
+        if is_newer or not guards.only_newer_fold_adopted:
+            yield (
+                f"host {index} asks {peer}",
+                _with_fold(state, index, peer_fold),
+            )
+    yield f"host {index} replaced", _with_host(state, index, Host(EMPTY, 0))
 
 
-def _moved(state: State, i: int, fold: Fold) -> State:
-    newest = max(state.hosts[i].newest, fold.generation)
-    return _with_host(state, i, Host(fold, newest))
+def _with_fold(state: State, index: int, fold: Fold) -> State:
+    newest_generation = max(
+        state.hosts[index].newest_generation, fold.generation
+    )
+    return _with_host(state, index, Host(fold, newest_generation))
 
 
 def _log_steps(state: State, guards: Guards) -> Steps:
     if state.earliest < len(state.log):
         yield "record expires", state._replace(earliest=state.earliest + 1)
     fold = state.hosts[0].fold
-    if state.captured is None and fold.offset > 0:
-        yield "checkpoint begun", state._replace(captured=fold)
-    if state.captured is not None:
-        record = Checkpoint(state.captured)
+    if state.pending_checkpoint is None and fold.offset > 0:
+        yield "checkpoint begun", state._replace(pending_checkpoint=fold)
+    if state.pending_checkpoint is not None:
+        record = Checkpoint(state.pending_checkpoint)
         appended = _append(state, record, guards)
         if appended is not None:
-            yield "checkpoint appended", appended._replace(captured=None)
+            yield (
+                "checkpoint appended",
+                appended._replace(pending_checkpoint=None),
+            )
     if not state.repeated:
         for repeated in state.log:
-            again = _append(state, repeated, guards)
-            if isinstance(repeated, Switch) and again is not None:
-                yield "record repeated", again._replace(repeated=True)
+            appended = _append(state, repeated, guards)
+            if isinstance(repeated, Switch) and appended is not None:
+                yield "record repeated", appended._replace(repeated=True)
 
 
 def _transitions(guards: Guards) -> Callable[[Any], list[tuple[str, State]]]:
     def transitions(values: tuple[Any, ...]) -> list[tuple[str, State]]:
         state = State(*values)
         steps = list(_log_steps(state, guards))
-        for i in OPERATORS:
-            steps.extend(_operator_steps(state, i, guards))
-        for i in HOSTS:
-            steps.extend(_host_steps(state, i, guards))
+        for index in OPERATORS:
+            steps.extend(_operator_steps(state, index, guards))
+        for index in HOSTS:
+            steps.extend(_host_steps(state, index, guards))
         return steps
 
     return transitions
 
 
-def _readers_agree(d: dict[str, Any]) -> bool:
-    """Compare each fold with that of the whole log before its offset."""
+def _readers_agree(fields: dict[str, Any]) -> bool:
+    """Return whether each fold matches that of the log before its offset."""
     return all(
-        host.fold == fold_all(d["log"][: host.fold.offset])
-        for host in d["hosts"]
+        host.fold == fold_all(fields["log"][: host.fold.offset])
+        for host in fields["hosts"]
     )
 
 
-def _never_reverts(d: dict[str, Any]) -> bool:
-    return all(host.fold.generation == host.newest for host in d["hosts"])
+def _never_reverts(fields: dict[str, Any]) -> bool:
+    return all(
+        host.fold.generation == host.newest_generation
+        for host in fields["hosts"]
+    )
 
 
-def _one_in_force(d: dict[str, Any]) -> bool:
-    """Tell whether each host has one as soon as its offset allows it."""
+def _one_in_force(fields: dict[str, Any]) -> bool:
+    """Return whether each host has a preset as soon as its offset allows."""
     return all(
-        (host.fold.preset != NOBODY) == (host.fold.generation > 0)
-        and (host.fold.generation > 0) == _any_accepted(d, host.fold.offset)
-        for host in d["hosts"]
+        (host.fold.preset != NO_PRESET) == (host.fold.generation > 0)
+        and (host.fold.generation > 0)
+        == _any_accepted(fields, host.fold.offset)
+        for host in fields["hosts"]
     )
 
 
-def _any_accepted(d: dict[str, Any], offset: int) -> bool:
-    verdicts = fold_all(d["log"][:offset]).verdicts
+def _any_accepted(fields: dict[str, Any], offset: int) -> bool:
+    verdicts = fold_all(fields["log"][:offset]).verdicts
     return any(verdict == "accepted" for _, verdict in verdicts)
 
 
-def _told_truly(d: dict[str, Any]) -> bool:
-    """Compare what operators were told with the fold of the whole log."""
-    verdicts = dict(fold_all(d["log"]).verdicts)
-    for i, operator in enumerate(d["operators"]):
+def _told_truly(fields: dict[str, Any]) -> bool:
+    """Return whether the fold of the log agrees with operators' answers."""
+    verdicts = dict(fold_all(fields["log"]).verdicts)
+    for index, operator in enumerate(fields["operators"]):
         if operator.phase in ("accepted", "superseded"):
-            if verdicts.get(i) != operator.phase:
+            if verdicts.get(index) != operator.phase:
                 return False
-        elif operator.phase == "failed" and verdicts.get(i) == "accepted":
+        elif operator.phase == "failed" and verdicts.get(index) == "accepted":
             return False
     return True
 
 
-def _one_winner(d: dict[str, Any]) -> bool:
-    """Tell whether one of two operators on the same generation won."""
-    winners = [o.expected for o in d["operators"] if o.phase == "accepted"]
+def _one_winner(fields: dict[str, Any]) -> bool:
+    """Return whether at most one operator won on each generation."""
+    winners = [
+        operator.expected
+        for operator in fields["operators"]
+        if operator.phase == "accepted"
+    ]
     return len(winners) == len(set(winners))
 
 
-def _switched_once(d: dict[str, Any]) -> bool:
-    """Tell whether no operator's switch took effect twice."""
-    verdicts = fold_all(d["log"]).verdicts
+def _switched_once(fields: dict[str, Any]) -> bool:
+    """Return whether no operator's switch took effect twice."""
+    verdicts = fold_all(fields["log"]).verdicts
     owners = [
         operation % len(OPERATORS)
         for operation, verdict in verdicts
@@ -351,7 +392,7 @@
 
 
 def specify(name: str, guards: Guards) -> Protocol:
-    """Return the specification with these guards."""
+    """Return the protocol with these guards for the model checker."""
     return Protocol(
         name=name,
         candidate=False,
@@ -369,10 +410,10 @@
     )
 
 
-# Each broken variant and a property that it violates.
+# Each broken variant with a property that it violates.
 BROKEN: dict[str, tuple[Guards, str]] = {
     "switch names no generation": (
-        Guards(generation_expected=False),
+        Guards(expected_generation_checked=False),
         "one_winner",
     ),
     "record repeated by the log folded twice": (
@@ -380,43 +421,43 @@
         "told_truly",
     ),
     "checkpoint used whatever it covers": (
-        Guards(checkpoint_reaches_back=False),
+        Guards(checkpoint_must_cover_gap=False),
         "readers_agree",
     ),
     "stale checkpoint sets readers back": (
-        Guards(checkpoint_never_sets_back=False),
+        Guards(checkpoint_never_rewinds=False),
         "never_reverts",
     ),
     "reader goes on over a gap": (
-        Guards(gap_noticed=False),
+        Guards(gap_detected=False),
         "readers_agree",
     ),
     "older fold of a peer adopted": (
-        Guards(only_further_adopted=False),
+        Guards(only_newer_fold_adopted=False),
         "never_reverts",
     ),
     "accepted told when appended": (
-        Guards(told_when_folded=False),
+        Guards(reported_after_fold=False),
         "told_truly",
     ),
     "lost answer told as failed": (
-        Guards(lost_is_unknown=False),
+        Guards(lost_answer_is_unknown=False),
         "told_truly",
     ),
     "lost answer answered by a second append": (
-        Guards(appended_once=False),
+        Guards(operation_appended_once=False),
         "switched_once",
     ),
 }
 
 
 def check(log_limit: int = CORRECT.log_limit) -> Verdict:
-    """Search all states of the protocol as it is built."""
+    """Search all states of the protocol with every guard."""
     return search(specify("preset fold", Guards(log_limit=log_limit)))
 
 
 def check_broken(name: str) -> Verdict:
-    """Search for the counterexample of one broken variant."""
+    """Search one broken variant for its counterexample."""
     guards, violated = BROKEN[name]
     protocol = specify(name, guards)
     for states in BROKEN_STATES:
--- a/tests/test_model_order_lease.py
+++ b/tests/test_model_order_lease.py
@@ -2,6 +2,7 @@
 
 from models.order_lease import BROKEN, SOUND, broken_verdict, sound_verdict
 
+# The property that each broken variant violates.
 VIOLATED = {
     "no compare-and-set": "one_holder",
     "term from after append": "one_holder",
@@ -16,12 +17,12 @@
 
 
 @pytest.mark.parametrize("name", SOUND)
-def test_every_state_keeps_the_promises(name):
+def test_every_state_satisfies_all_properties(name):
     verdict = sound_verdict(name)
     assert verdict.exhaustive
     assert verdict.violated == {}
 
 
 @pytest.mark.parametrize("name", BROKEN)
-def test_each_guard_is_needed(name):
+def test_removing_a_guard_violates_a_property(name):
     assert VIOLATED[name] in broken_verdict(name).violated
--- a/tests/test_model_platform_view.py
+++ b/tests/test_model_platform_view.py
@@ -2,6 +2,7 @@
 
 from models.platform_view import BROKEN, broken_verdict, sound_verdict
 
+# The property that each broken variant violates.
 VIOLATED = {
     "older versions taken": "never_goes_back",
     "peers tell no version": "follows",
@@ -11,7 +12,7 @@
 }
 
 
-def test_a_host_believes_the_right_thing_for_long_enough() -> None:
+def test_every_state_satisfies_all_properties() -> None:
     verdict = sound_verdict()
     assert verdict.violated == {}
     assert verdict.holds
@@ -19,5 +20,5 @@
 
 
 @pytest.mark.parametrize("name", BROKEN)
-def test_each_guard_is_needed(name: str) -> None:
+def test_removing_a_guard_violates_a_property(name: str) -> None:
     assert VIOLATED[name] in broken_verdict(name).violated
--- a/tests/test_model_request_keys.py
+++ b/tests/test_model_request_keys.py
@@ -7,6 +7,7 @@
     sound_verdicts,
 )
 
+# Broken variants that run a key twice.
 RUN_TWICE = [
     "any host runs a key",
     "restarted home takes old keys",
@@ -17,7 +18,8 @@
     "new key after unknown",
     *UNHOMED_BROKEN,
 ]
-REFUSED_FALSELY = [
+# Broken variants that refuse a key which runs.
+REFUSED_THOUGH_RUN = [
     "refused when the home is dead",
     "home takes keys after the hand-over",
     "refused by the home, taken by the successor",
@@ -31,14 +33,14 @@
     return {verdict.name: verdict for verdict in broken_verdicts()}
 
 
-def test_every_state_keeps_the_promises():
+def test_every_state_satisfies_all_properties():
     for verdict in sound_verdicts():
         assert verdict.exhaustive, verdict.name
         assert verdict.violated == {}, verdict.name
 
 
-def test_every_broken_variant_is_expected():
-    assert {*RUN_TWICE, *REFUSED_FALSELY} == {*BROKEN, *UNHOMED_BROKEN}
+def test_every_broken_variant_has_an_expected_violation():
+    assert {*RUN_TWICE, *REFUSED_THOUGH_RUN} == {*BROKEN, *UNHOMED_BROKEN}
 
 
 @pytest.mark.parametrize("name", RUN_TWICE)
@@ -46,6 +48,6 @@
     assert "at_most_once" in broken[name].violated
 
 
-@pytest.mark.parametrize("name", REFUSED_FALSELY)
-def test_without_the_guard_a_refusal_is_false(broken, name):
+@pytest.mark.parametrize("name", REFUSED_THOUGH_RUN)
+def test_without_the_guard_a_refused_key_runs(broken, name):
     assert "refused_never_ran" in broken[name].violated
