--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -1,19 +1,19 @@
-"""Measure the placement policy against its baselines.
+"""Compare the placement policy with its baselines.
 
 Usage:
   experiment.py [--seeds N] [--jobs N] [--quick | --ablate] [--out FILE]
   experiment.py (-h | --help)
 
-Everything runs in virtual time from fixed seeds; the same command gives
-the same figures. Prints a table and writes the results as JSON. A whole
-run also plots into docs/.
+Everything runs in virtual time from fixed seeds, so the same command gives
+the same figures. Prints a table and writes the results as JSON. A full run
+also writes plots to docs/.
 
 Options:
   --seeds N   Seeds per case [default: 5].
-  --jobs N    Processes at once [default: 4].
-  --quick     Only the loads 1.0 and 1.3 without faults, one seed.
-  --ablate    Switch off one mechanism at a time, at the load 1.3.
-  --out FILE  Where the results go [default: bench/results/experiment.json].
+  --jobs N    Number of parallel processes [default: 4].
+  --quick     Run only the loads 1.0 and 1.3 without faults, with one seed.
+  --ablate    Disable one mechanism at a time, at the load 1.3.
+  --out FILE  Result file [default: bench/results/experiment.json].
   -h --help   Show this.
 """
 
@@ -63,7 +63,7 @@
 
 @attrs.frozen(kw_only=True)
 class Summary:
-    """Hold the mean, least and most of each figure over the seeds."""
+    """Hold the mean, minimum and maximum of each figure over the seeds."""
 
     deployment: str
     load: float
@@ -76,7 +76,7 @@
 
 
 def main() -> None:
-    """Run the cases asked for."""
+    """Run the selected cases, print the table and write the results."""
     options = docopt(__doc__)
     seeds = 1 if options["--quick"] else int(options["--seeds"])
     jobs = int(options["--jobs"])
@@ -96,7 +96,7 @@
     _print(capacities, summaries)
     _write(Path(options["--out"]), capacities, summaries)
     if not options["--quick"] and not options["--ablate"]:
-        plots.draw(summaries, Path("docs"))
+        plots.plot_results(summaries, Path("docs"))
 
 
 def _cases(options: dict[str, object], seeds: range) -> Iterator[Case]:
@@ -106,14 +106,14 @@
             "least_load": Policy(name="least_load"),
             "balsamlift": deployment.policy,
         }
-        sorts = [(load, "none") for load in LOADS]
-        sorts += [(load, f) for load in LOADS[1:] for f in FAULTS[1:]]
+        conditions = [(load, "none") for load in LOADS]
+        conditions += [(load, f) for load in LOADS[1:] for f in FAULTS[1:]]
         if options["--quick"]:
-            sorts = [(load, "none") for load in LOADS[1:]]
+            conditions = [(load, "none") for load in LOADS[1:]]
         if options["--ablate"]:
             policies = _ablations(deployment.policy)
-            sorts = [(LOADS[-1], fault) for fault in ("none", "slow")]
-        for load, fault in sorts:
+            conditions = [(LOADS[-1], fault) for fault in ("none", "slow")]
+        for load, fault in conditions:
             for label, settings in policies.items():
                 for seed in seeds:
                     yield Case(
@@ -171,18 +171,18 @@
         print(f"{name}: capacity {rate:.2f} requests/s")
     print(*(name for name, _ in COLUMNS), sep=" | ")
     for summary in summaries:
-        head = (
+        title = (
             f"{summary.deployment} {summary.load} {summary.fault} "
             f"{summary.policy}"
         )
         cells = [_cell(summary, name, digits) for name, digits in COLUMNS]
-        print(head, *cells, sep=" | ")
+        print(title, *cells, sep=" | ")
 
 
 def _cell(summary: Summary, name: str, digits: int) -> str:
     values = (summary.mean[name], summary.least[name], summary.most[name])
-    middle, least, most = (f"{value:.{digits}f}" for value in values)
-    return f"{middle} ({least}..{most})"
+    average, least, most = (f"{value:.{digits}f}" for value in values)
+    return f"{average} ({least}..{most})"
 
 
 def _write(
--- a/bench/host_memory.py
+++ b/bench/host_memory.py
@@ -1,16 +1,16 @@
-"""Measure what one host costs that serves nothing.
+"""Measure the resources that one idle host uses.
 
 Usage:
   host_memory.py [--out FILE]
   host_memory.py (-h | --help)
 
-One platform stand-in, one engine stand-in listed under 10 to 4,500 names,
-and one host with a preset in force. Prints and writes the host's resident
-memory, its processor time and the bytes of its open TCP connections, as
-`ss` shows them; what short connections carry is not among them.
+Starts one platform stand-in, one engine stand-in listed under 10 to 4,500
+names, and one host with a preset in force. Prints and writes the host's
+resident memory, its processor time and the bytes of its open TCP
+connections, as `ss` shows them; bytes of short connections are not counted.
 
 Options:
-  --out FILE  Where it goes [default: bench/results/host_memory.json].
+  --out FILE  Result file [default: bench/results/host_memory.json].
   -h --help   Show this.
 """
 
@@ -33,7 +33,7 @@
     resident_mb,
     write_result,
 )
-from relay import LOADS, run, start
+from relay import LOAD_PROCESSES, run_job, start_deployment
 from stream_load import THROUGH
 
 UPSTREAMS = (10, 100, 1_000, 4_500)
@@ -43,10 +43,10 @@
 
 @attrs.frozen(kw_only=True)
 class Cost:
-    """Hold the cost of one host with a number of upstreams listed."""
+    """Hold the resource usage of a host with that many upstreams listed."""
 
     upstreams: int
-    polls_load: bool  # begins with the first request
+    polls_load: bool  # starts with the first request
     resident_mb: float
     cpu_share: float  # of one core
     sent_bytes_per_s: float  # payload of TCP
@@ -56,7 +56,7 @@
 
 @attrs.frozen(kw_only=True)
 class Result:
-    """Hold everything that one call measured."""
+    """Hold the results of all runs."""
 
     machine: Machine
     window_s: float
@@ -64,7 +64,7 @@
 
 
 def main() -> None:
-    """Measure, print and write."""
+    """Run all cases, print the figures and write them to a file."""
     arguments = docopt(__doc__ or "")
     costs = []
     for polls_load in (False, True):
@@ -77,15 +77,25 @@
 
 def _measure(upstreams: int, polls_load: bool) -> Cost:
     with ExitStack() as stack:
-        bench = start(stack, tokens_per_frame=4, names=upstreams)
-        pid = bench.host.pid
+        deployment = start_deployment(
+            stack, tokens_per_frame=4, names=upstreams
+        )
+        pid = deployment.host.pid
         if polls_load:
-            run(bench.job(THROUGH, LOADS, tokens=1, warm_s=0.0, measure_s=1.0))
+            run_job(
+                deployment.job(
+                    THROUGH,
+                    LOAD_PROCESSES,
+                    tokens=1,
+                    warm_s=0.0,
+                    measure_s=1.0,
+                )
+            )
         time.sleep(SETTLE_S)
-        before_s, began_s = cpu_s(pid), time.monotonic()
+        before_s, started_s = cpu_s(pid), time.monotonic()
         sent, received = _tcp_bytes(pid)
         time.sleep(WINDOW_S)
-        passed_s = time.monotonic() - began_s
+        passed_s = time.monotonic() - started_s
         sent_after, received_after = _tcp_bytes(pid)
         return Cost(
             upstreams=upstreams,
@@ -99,11 +109,11 @@
 
 
 def _tcp_bytes(pid: int) -> tuple[int, int]:
-    """Return the bytes sent and received on a process's connections."""
+    """Return the bytes sent and received on a process's open connections."""
     output = subprocess.run(
         ["ss", "-tinpH"], capture_output=True, text=True, check=True
     ).stdout
-    # Two lines each: the connection with its process, then its counters.
+    # Each connection has two lines: its address and process, its counters.
     lines = output.splitlines()
     sent = received = 0
     for line, counters in itertools.pairwise(lines):
--- a/bench/key_cost.py
+++ b/bench/key_cost.py
@@ -1,7 +1,7 @@
-"""Measure what one remembered key costs in memory.
+"""Measure the memory that one key in a key table takes.
 
-Run: python bench/key_cost.py. Prints JSON: bytes per key, once its answer
-has been dropped, as traced by the allocator of Python.
+Run: python bench/key_cost.py. Prints JSON: bytes per key after its answer
+has been dropped, as traced by tracemalloc.
 """
 
 from __future__ import annotations
@@ -25,25 +25,25 @@
 
 
 def main() -> None:
-    """Fill a key table with finished requests and print the slope."""
+    """Fill a key table with finished requests and print bytes per key."""
     table = KeyTable(Home("entry-1", "c0ffee"), SystemClock(), 600_000, KEYS)
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     for _ in range(KEYS):
-        _remember_one(table)
+        _add_finished_request(table)
     after, _ = tracemalloc.get_traced_memory()
     print(json.dumps({"keys": KEYS, "bytes_per_key": (after - before) / KEYS}))
 
 
-def _remember_one(table: KeyTable) -> None:
+def _add_finished_request(table: KeyTable) -> None:
     key = parse_key(new_homed_key(table.prefix))
     body = RequestBody(
         key=key.text, workspace="bench", kind="report", prompt="p" * 2_000
     )
     execution = Execution(key.text, "bench", body)
     execution.answer.begin("generation")
-    words = [f"w{n}" for n in range(TOKENS)]
-    frame = Tokens(generation="generation", index=0, tokens=words)
+    tokens = [f"w{n}" for n in range(TOKENS)]
+    frame = Tokens(generation="generation", index=0, tokens=tokens)
     execution.answer.append(frame)
     execution.notify()
     outcome = Outcome(
--- a/bench/list_cost.py
+++ b/bench/list_cost.py
@@ -1,8 +1,8 @@
-"""Measure what one change of the platform's list costs a host.
+"""Measure the cost to a host of one change in the platform's list.
 
-Run: python bench/list_cost.py. Prints JSON: processor time of one reading of
-the list in which one entry has changed, by the number of upstreams: decoding
-it, and taking it in.
+Run: python bench/list_cost.py. Prints JSON: for each number of upstreams, the
+processor time to process a list in which one entry has changed: decoding the
+list, and merging it into the known upstreams.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def main() -> None:
-    """Print what a change costs at each size, in milliseconds."""
+    """Print the cost of a change at each size, in milliseconds."""
     results = [_measure(size) for size in SIZES]
     print(json.dumps({"load_average": os.getloadavg()[0], "sizes": results}))
 
@@ -35,14 +35,14 @@
     values = {f"i-{n:06}": _entry(n, 0) for n in range(size)}
     decoded = _DecodeCache(decode_upstream)
     entries = decoded.update(values)
-    known = _join(entries)
+    known_upstreams = _build_upstreams(entries)
     decode_ms = join_ms = 0.0
     for change in range(CHANGES):
         number = rng.randrange(size)
         values[f"i-{number:06}"] = _entry(number, change + 1)
         decode_ms += _timed_ms(lambda: decoded.update(values))
         entries = decoded.update(values)
-        join_ms += _timed_ms(partial(_take, entries, known))
+        join_ms += _timed_ms(partial(_merge, entries, known_upstreams))
     return {
         "upstreams": size,
         "decode_ms": round(decode_ms / CHANGES, 2),
@@ -50,13 +50,13 @@
     }
 
 
-def _take(entries: list[ListEntry], known: list[Upstream]) -> None:
-    take_latest(_join(entries), known)
+def _merge(entries: list[ListEntry], known_upstreams: list[Upstream]) -> None:
+    take_latest(_build_upstreams(entries), known_upstreams)
 
 
-def _join(entries: list[ListEntry]) -> list[Upstream]:
-    joined = [build_upstream(entry, {}) for entry in entries]
-    return [upstream for upstream in joined if upstream is not None]
+def _build_upstreams(entries: list[ListEntry]) -> list[Upstream]:
+    built = [build_upstream(entry, {}) for entry in entries]
+    return [upstream for upstream in built if upstream is not None]
 
 
 def _entry(number: int, sequence: int) -> bytes:
--- a/bench/peer_cost.py
+++ b/bench/peer_cost.py
@@ -1,15 +1,15 @@
-"""Measure what membership costs one host.
+"""Measure the cost of peer membership per host.
 
 Usage:
   peer_cost.py [--window=S] [--out=FILE]
   peer_cost.py --help
 
-Starts hosts as processes, each a thin daemon with only the time line, the
+Starts hosts as processes, each a minimal daemon with only the timeline, the
 metrics, the upstreams and the peers, on a stand-in of the platform's list
 of hosts. Prints JSON: for each run the means over the hosts.
 
 Options:
-  --window=S  Seconds measured in each run, after it has settled [default: 12].
+  --window=S  Seconds measured per run, after the settling time [default: 12].
   --out=FILE  Also write the JSON to a file.
 """
 
@@ -36,32 +36,32 @@
 from balsamlift.metrics import Snapshot
 from balsamlift.operators import JsonHandler, OperatorsServer
 
-SETTLE_S = 12.0  # many hosts started at once need a while
+SETTLE_S = 12.0  # many hosts that start at once settle slowly
 READY_S = 60.0
-FULL_MESH = 1_000  # a fan-out that no run reaches
-TODAY_UPSTREAMS = 8
-TODAY_HEARTBEAT_MS = 250
+FULL_MESH_FAN_OUT = 1_000  # larger than the number of hosts in any run
+DEFAULT_UPSTREAMS = 8
+DEFAULT_HEARTBEAT_MS = 250
 
-# Per message besides its payload: the header of pynng (8), IP and TCP with
-# time stamps (52), and an acknowledgement the other way (52).
+# Overhead per message besides its payload: the pynng header (8), IP and TCP
+# headers with timestamps (52), and an acknowledgement in return (52).
 HEADER_BYTES = 8 + 52
 ACK_BYTES = 52
 
 
 @attrs.frozen(kw_only=True)
 class Run:
-    """Describe one run."""
+    """Describe the parameters of one run."""
 
     hosts: int
-    fan_out: int = FULL_MESH
-    heartbeat_ms: int = TODAY_HEARTBEAT_MS
-    upstreams: int = TODAY_UPSTREAMS
+    fan_out: int = FULL_MESH_FAN_OUT
+    heartbeat_ms: int = DEFAULT_HEARTBEAT_MS
+    upstreams: int = DEFAULT_UPSTREAMS
     changes_per_s: int = 0  # of in-flight counts, on each host
 
 
 @attrs.frozen(kw_only=True)
 class Cost:
-    """Hold the means per host of one run."""
+    """Hold the cost of one run as means per host."""
 
     run: Run
     live_peers_least: int
@@ -102,10 +102,10 @@
 
 
 class PlatformStandIn:
-    """Serve the list of hosts, and the state of every engine on it."""
+    """Serve the list of hosts and the state of every engine on the list."""
 
     def __init__(self, upstreams: int) -> None:
-        """Listen, with that many engines on the list."""
+        """Listen with that many engines on the list."""
         self._server = OperatorsServer("127.0.0.1:0")
         self.address = self._server.address
         self.entries: list[dict[str, str]] = [
@@ -127,7 +127,7 @@
         self._server.add_routes([("/v1/state", StateHandler, arguments)])
 
     def publish(self) -> None:
-        """Serve the present entries."""
+        """Encode the current entries as the body to serve."""
         self.body = msgspec.json.encode({"hosts": self.entries})
 
     async def start(self) -> None:
@@ -141,7 +141,7 @@
 
 
 class ListHandler(JsonHandler):
-    """Answer with the list, or 304 when the reader has it."""
+    """Answer with the list, or 304 when the reader is up to date."""
 
     def initialize(self, stand_in: PlatformStandIn) -> None:
         """Keep the stand-in."""
@@ -152,7 +152,7 @@
         self.finish(self._stand_in.body)
 
     def on_finish(self) -> None:
-        """Count the body, unless it was not sent."""
+        """Count the bytes of the body if it was sent."""
         if self.get_status() == 200:
             self._stand_in.list_bytes += len(self._stand_in.body)
 
@@ -165,14 +165,14 @@
         self._stand_in = stand_in
 
     def get(self) -> None:
-        """Tell that the engine does not drain."""
+        """Answer that the engine is not draining."""
         self._stand_in.probes += 1
         self.reply({"draining": False})
 
 
 @attrs.define
 class Host:
-    """Hold one host's process."""
+    """Hold the process and the addresses of one host."""
 
     process: asyncio.subprocess.Process
     operators_address: str
@@ -186,7 +186,7 @@
         return ticks / os.sysconf("SC_CLK_TCK")
 
     def resident_mb(self) -> float:
-        """Return the resident memory."""
+        """Return the resident memory in MB."""
         text = Path(f"/proc/{self.process.pid}/statm").read_text()
         pages = int(text.split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
@@ -201,7 +201,7 @@
 async def start_process(
     number: int, run: Run, platform_address: str
 ) -> asyncio.subprocess.Process:
-    """Start one host."""
+    """Start the process of one host."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
         str(Path(__file__).with_name("peer_host.py")),
@@ -214,7 +214,7 @@
     )
 
 
-async def ready_host(process: asyncio.subprocess.Process) -> Host:
+async def wait_ready(process: asyncio.subprocess.Process) -> Host:
     """Wait for a host's ready line."""
     assert process.stdout is not None
     line = await asyncio.wait_for(process.stdout.readline(), READY_S)
@@ -233,7 +233,7 @@
             processes.append(
                 await start_process(number, run, stand_in.address)
             )
-        hosts = [await ready_host(process) for process in processes]
+        hosts = [await wait_ready(process) for process in processes]
         for number, host in enumerate(hosts):
             stand_in.entries.append(list_entry(number, host))
         stand_in.publish()
@@ -268,14 +268,14 @@
     stand_in: PlatformStandIn,
     http: HttpClient,
 ) -> Cost:
-    """Measure running hosts for a while."""
+    """Measure running hosts over the window."""
     clock = SystemClock()
     before = [await host.snapshot(http) for host in hosts]
     cpu_before_s = [host.cpu_s() for host in hosts]
     list_before, probes_before = stand_in.list_bytes, stand_in.probes
     started_s = clock.monotonic()
     await clock.sleep(window_s)
-    taken_s = clock.monotonic() - started_s
+    elapsed_s = clock.monotonic() - started_s
     cpu_s = [
         host.cpu_s() - cpu
         for host, cpu in zip(hosts, cpu_before_s, strict=True)
@@ -285,11 +285,11 @@
     after = [await host.snapshot(http) for host in hosts]
 
     def rate(name: str) -> float:
-        grown = [
-            late.counters.get(name, 0) - early.counters.get(name, 0)
-            for early, late in zip(before, after, strict=True)
+        increases = [
+            last.counters.get(name, 0) - first.counters.get(name, 0)
+            for first, last in zip(before, after, strict=True)
         ]
-        return statistics.fmean(grown) / taken_s
+        return statistics.fmean(increases) / elapsed_s
 
     sent, received = (
         rate("peers.messages_sent"),
@@ -300,21 +300,21 @@
     return Cost(
         run=run,
         live_peers_least=int(min(s.gauges["peers.live"] for s in after)),
-        cpu_percent=round(statistics.fmean(cpu_s) / taken_s * 100, 3),
-        cpu_percent_most=round(max(cpu_s) / taken_s * 100, 3),
+        cpu_percent=round(statistics.fmean(cpu_s) / elapsed_s * 100, 3),
+        cpu_percent_most=round(max(cpu_s) / elapsed_s * 100, 3),
         resident_mb=round(statistics.fmean(h.resident_mb() for h in hosts), 1),
         messages_sent_per_s=round(sent, 2),
         payload_sent_bytes_per_s=round(rate("peers.bytes_sent"), 1),
         wire_bytes_per_s=round(wire, 1),
-        list_bytes_per_s=round(list_bytes / taken_s / len(hosts), 1),
+        list_bytes_per_s=round(list_bytes / elapsed_s / len(hosts), 1),
         list_bytes_whole=len(stand_in.body),
-        state_probes_per_s=round(probes / taken_s / len(hosts), 2),
+        state_probes_per_s=round(probes / elapsed_s / len(hosts), 2),
     )
 
 
 @attrs.frozen(kw_only=True)
 class Slopes:
-    """Hold how costs grow, by least squares over runs."""
+    """Hold how costs grow, fitted by least squares over the runs."""
 
     cpu_percent_idle: float
     cpu_percent_per_message_per_s: float  # one sent and one received
@@ -323,12 +323,13 @@
     resident_mb_per_1000_upstreams: float
 
 
-def fit(costs: Sequence[Cost]) -> Slopes:
+def fit_slopes(costs: Sequence[Cost]) -> Slopes:
     """Return the slopes over hosts and over upstreams."""
     over_hosts = [
         cost
         for cost in costs
-        if cost.run.upstreams == TODAY_UPSTREAMS and not cost.run.changes_per_s
+        if cost.run.upstreams == DEFAULT_UPSTREAMS
+        and not cost.run.changes_per_s
     ]
     over_upstreams = [
         cost
@@ -336,7 +337,9 @@
         if cost.run.hosts == 3 and not cost.run.changes_per_s
     ]
     messages = [cost.messages_sent_per_s for cost in over_hosts]
-    thousands = [cost.run.upstreams / 1_000 for cost in over_upstreams]
+    upstream_thousands = [
+        cost.run.upstreams / 1_000 for cost in over_upstreams
+    ]
     cpu = statistics.linear_regression(
         messages, [cost.cpu_percent for cost in over_hosts]
     )
@@ -344,10 +347,10 @@
         messages, [cost.wire_bytes_per_s for cost in over_hosts]
     )
     upstreams_cpu = statistics.linear_regression(
-        thousands, [cost.cpu_percent for cost in over_upstreams]
+        upstream_thousands, [cost.cpu_percent for cost in over_upstreams]
     )
     resident = statistics.linear_regression(
-        thousands, [cost.resident_mb for cost in over_upstreams]
+        upstream_thousands, [cost.resident_mb for cost in over_upstreams]
     )
     return Slopes(
         cpu_percent_idle=round(cpu.intercept, 2),
@@ -369,7 +372,7 @@
 
 
 def describe_machine() -> dict[str, Any]:
-    """Return what the figures depend on."""
+    """Describe the machine and the software that the figures depend on."""
     return {
         "cores": os.cpu_count(),
         "system": platform.platform(),
@@ -386,7 +389,7 @@
     result = {
         "machine": machine,
         "window_s": float(arguments["--window"]),
-        "slopes": attrs.asdict(fit(costs)),
+        "slopes": attrs.asdict(fit_slopes(costs)),
         "runs": [attrs.asdict(cost) for cost in costs],
     }
     text = json.dumps(result, indent=2)
--- a/bench/peer_host.py
+++ b/bench/peer_host.py
@@ -1,4 +1,4 @@
-"""Run one thin host for `peer_cost.py`, until SIGTERM.
+"""Run one minimal host for `peer_cost.py` until SIGTERM.
 
 Usage:
   peer_host.py NUMBER PLATFORM FAN_OUT HEARTBEAT_MS CHANGES_PER_S
@@ -33,7 +33,7 @@
 
 
 class PresetsStandIn:
-    """Say that the configuration is caught up."""
+    """Report that the configuration is caught up."""
 
     name = "presets"
     offset = 1_000
@@ -89,7 +89,7 @@
 def build_settings(
     number: int, platform_address: str, fan_out: int, heartbeat_ms: int
 ) -> Settings:
-    """Return the settings of one host; silence is six heartbeats."""
+    """Return the settings of one host, with a silence of six heartbeats."""
     return Settings(
         host=f"host-{number}",
         failure_domain=f"domain-{number % 3}",
@@ -112,7 +112,7 @@
 async def change_counts(
     peers: Peers, upstreams: Upstreams, rng: random.Random, changes_per_s: int
 ) -> None:
-    """Change in-flight counts at that rate."""
+    """Change in-flight counts at the given rate."""
     while changes_per_s:
         known = upstreams.all()
         for _ in range(max(1, changes_per_s // 10)):
@@ -121,7 +121,7 @@
 
 
 def main() -> None:
-    """Run from the command line."""
+    """Run the host described on the command line."""
     logger.remove()
     asyncio.run(run(docopt(__doc__ or "")))
 
--- a/bench/placement_cost.py
+++ b/bench/placement_cost.py
@@ -1,16 +1,16 @@
-"""Measure what placement and the list of upstreams cost, as slopes.
+"""Measure the cost of placement and of the list of upstreams.
 
 Usage:
   placement_cost.py [--repeats N] [--out FILE]
   placement_cost.py (-h | --help)
 
-No network: the scheduler and the list are driven directly, with 10 to
-4,500 engines and 10 to 19,000 workspaces. Prints and writes processor time
-per admission and per look at the queues, and the memory kept.
+Uses no network: calls the scheduler and the list directly, with 10 to 4,500
+engines and 10 to 19,000 workspaces. Prints and writes processor time per
+admission and per inspection of the queues, and the memory retained.
 
 Options:
   --repeats N  Runs of each case [default: 3].
-  --out FILE   Where it goes [default: bench/results/placement_cost.json].
+  --out FILE   Result file [default: bench/results/placement_cost.json].
   -h --help    Show this.
 """
 
@@ -47,20 +47,20 @@
 UPSTREAMS = (10, 100, 1_000, 4_500)
 WORKSPACES = (10, 1_000, 19_000)
 FEW_ENGINES = 10
-ASKS = 50
+ADMISSIONS = 50
 POOL = "drafting"
 SEED = 1
-US = 1e6
+US_PER_S = 1e6
 MEMORY_TOKENS = 10_000_000
 
 
 @attrs.frozen(kw_only=True)
 class UpstreamsCost:
-    """Hold the cost with a number of upstreams in one pool."""
+    """Hold the cost for a number of upstreams in one pool."""
 
     upstreams: int
     admit_us: Spread  # enqueue, decide, choose, finish
-    set_engines_us: Spread  # done at each admission and each look
+    set_engines_us: Spread  # on each admission and inspection
     look_us: Spread  # expected tokens of every engine, and a decision
     list_decode_us: Spread  # one changed list of hosts
     list_bytes: int
@@ -69,7 +69,7 @@
 
 @attrs.frozen(kw_only=True)
 class WorkspacesCost:
-    """Hold the cost with a number of workspaces that ask in turn."""
+    """Hold the cost for a number of workspaces that request in turn."""
 
     workspaces: int
     admit_us: Spread
@@ -78,7 +78,7 @@
 
 @attrs.frozen(kw_only=True)
 class Result:
-    """Hold everything that one call measured."""
+    """Hold the results of all cases."""
 
     machine: Machine
     load: float
@@ -87,30 +87,30 @@
 
 
 def main() -> None:
-    """Measure, print and write."""
+    """Run all cases, print the figures and write them to a file."""
     arguments = docopt(__doc__ or "")
     repeats = int(arguments["--repeats"])
     result = Result(
         machine=machine(),
         load=load_average(),
-        upstreams=[_with_upstreams(n, repeats) for n in UPSTREAMS],
-        workspaces=[_with_workspaces(n, repeats) for n in WORKSPACES],
+        upstreams=[_measure_upstreams(n, repeats) for n in UPSTREAMS],
+        workspaces=[_measure_workspaces(n, repeats) for n in WORKSPACES],
     )
     print(msgspec.json.format(msgspec.json.encode(result)).decode())
     write_result(Path(arguments["--out"]), result)
 
 
-def _with_upstreams(count: int, repeats: int) -> UpstreamsCost:
-    scheduler, kept_bytes = _traced(lambda: _scheduler(count))
+def _measure_upstreams(count: int, repeats: int) -> UpstreamsCost:
+    scheduler, kept_bytes = _trace_memory(lambda: _scheduler(count))
     listed = msgspec.json.encode(_entries(count))
 
     numbers = itertools.count()
 
     def admit() -> None:
-        for number in itertools.islice(numbers, ASKS):
+        for number in itertools.islice(numbers, ADMISSIONS):
             _admit(scheduler, number, "bench")
 
-    def look() -> None:
+    def inspect_queues() -> None:
         for engine in scheduler.engines(POOL):
             scheduler.expected_tokens(POOL, engine.name, 0.0)
         scheduler.decide(0.0)
@@ -120,29 +120,29 @@
 
     return UpstreamsCost(
         upstreams=count,
-        admit_us=_time_us(admit, repeats, ASKS),
-        set_engines_us=_time_us(
+        admit_us=_measure_us(admit, repeats, ADMISSIONS),
+        set_engines_us=_measure_us(
             lambda: scheduler.set_engines(POOL, _engines(count)), repeats
         ),
-        look_us=_time_us(look, repeats),
-        list_decode_us=_time_us(decode, repeats),
+        look_us=_measure_us(inspect_queues, repeats),
+        list_decode_us=_measure_us(decode, repeats),
         list_bytes=len(listed),
         kept_bytes=kept_bytes,
     )
 
 
-def _with_workspaces(count: int, repeats: int) -> WorkspacesCost:
+def _measure_workspaces(count: int, repeats: int) -> WorkspacesCost:
     scheduler = _scheduler(FEW_ENGINES)
     numbers = itertools.count()
 
-    def admit(most: int) -> None:
-        for number in itertools.islice(numbers, most):
+    def admit(limit: int) -> None:
+        for number in itertools.islice(numbers, limit):
             _admit(scheduler, number, f"workspace-{number % count}")
 
-    _, kept_bytes = _traced(lambda: admit(count))
+    _, kept_bytes = _trace_memory(lambda: admit(count))
     return WorkspacesCost(
         workspaces=count,
-        admit_us=_time_us(lambda: admit(ASKS), repeats, ASKS),
+        admit_us=_measure_us(lambda: admit(ADMISSIONS), repeats, ADMISSIONS),
         kept_bytes=kept_bytes,
     )
 
@@ -176,9 +176,9 @@
 
 
 def _admit(scheduler: Scheduler, number: int, workspace: str) -> None:
-    """Take one request from its arrival to its whole answer."""
+    """Take one request from its arrival to its complete answer."""
     now_ms = 1_000.0 * number
-    ask = PlacementRequest(
+    request = PlacementRequest(
         key=f"key-{number}",
         workspace=workspace,
         kind="report",
@@ -191,31 +191,31 @@
         quantile=0.9,
         deadline_ms=100_000,
     )
-    ticket = scheduler.enqueue(ask, now_ms)
+    ticket = scheduler.enqueue(request, now_ms)
     scheduler.decide(now_ms)
     scheduler.choose(ticket, frozenset(), now_ms)
     scheduler.mark_started(ticket)
     scheduler.finish(ticket, 100)
 
 
-def _traced(make: Callable[[], T]) -> tuple[T, int]:
-    """Return what `make` made and the bytes that it keeps."""
+def _trace_memory(make: Callable[[], T]) -> tuple[T, int]:
+    """Return the result of `make` and the bytes that it retains."""
     gc.collect()
     tracemalloc.start()
-    made = make()
+    result = make()
     gc.collect()
     kept_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return made, kept_bytes
+    return result, kept_bytes
 
 
-def _time_us(run: Callable[[], None], repeats: int, per: int = 1) -> Spread:
+def _measure_us(run: Callable[[], None], repeats: int, per: int = 1) -> Spread:
     run()
     times = []
     for _ in range(repeats):
         before_s = time.process_time()
         run()
-        times.append((time.process_time() - before_s) * US / per)
+        times.append((time.process_time() - before_s) * US_PER_S / per)
     return spread(times)
 
 
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -1,12 +1,13 @@
-"""Compare ways to choose an engine, on loads unlike one another.
-
-Run: python bench/placing.py [--seeds=N] [--length=SECONDS]. Prints JSON: by
-load and policy, the part of generations that are in time (first token and
-pauses), late and refused, and preemptions; a mean over seeds and its standard
-error. One host has all in flight, so that what it knows of load is exact;
-engines are the stand-ins' model, in virtual time. Each few seconds some
-engines are replaced by empty ones, and their work goes on elsewhere, where all
-that it has so far is read again.
+"""Simulate placement policies on different load profiles and compare them.
+
+Run: python bench/placing.py [--seeds=N] [--length=SECONDS]. Prints JSON: for
+each load and policy, the fraction of generations that are in time (first
+token and pauses), late and refused, and preemptions; each as the mean over
+the seeds and its standard error. One host places every generation, so that
+its view of the load is exact. Engines are the model of the stand-ins, in
+virtual time. Every few seconds some engines are replaced by empty ones; their
+generations continue elsewhere, where the prompt and the tokens generated so
+far are prefilled again.
 """
 
 from __future__ import annotations
@@ -38,26 +39,26 @@
 
 POOL = "model"
 WARM_UP_S = 8.0
-COOL_DOWN_S = 20.0  # for what was asked to end
-REPLACED_EACH_S = 3.3
-REPLACED_PART = 0.17
+COOL_DOWN_S = 20.0  # in which requested generations end
+REPLACE_INTERVAL_S = 3.3
+REPLACED_FRACTION = 0.17
 
 
 @attrs.frozen(kw_only=True)
 class Kind:
-    """One kind of generation."""
+    """Arrival rate and sizes of one kind of generation."""
 
-    per_s: float
+    rate_per_s: float
     prompt_tokens: int
     output_tokens: int  # the mean
-    spread: float  # deviation of the logarithm of the output
+    spread: float  # standard deviation of the logarithm of the output
     target_s: float
     priority: int
 
 
 @attrs.frozen(kw_only=True)
-class LoadLaw:
-    """One deployment's engines and work."""
+class LoadProfile:
+    """Engines and work of one simulated deployment."""
 
     engines: int
     memory_tokens: int
@@ -67,7 +68,7 @@
 
 
 LONG = Kind(
-    per_s=13.1,
+    rate_per_s=13.1,
     prompt_tokens=3_000,
     output_tokens=750,
     spread=0.78,
@@ -75,155 +76,155 @@
     priority=1,
 )
 SHORT = Kind(
-    per_s=25.6,
+    rate_per_s=25.6,
     prompt_tokens=2_200,
     output_tokens=11,
     spread=0.42,
     target_s=1.5,
     priority=0,
 )
-LAWS = {
-    "long prompts": LoadLaw(
+PROFILES = {
+    "long prompts": LoadProfile(
         engines=28, memory_tokens=21_896, kinds=(LONG, SHORT)
     ),
-    "long prompts, a third fewer engines": LoadLaw(
+    "long prompts, a third fewer engines": LoadProfile(
         engines=19, memory_tokens=21_896, kinds=(LONG, SHORT)
     ),
-    "long answers": LoadLaw(
+    "long answers": LoadProfile(
         engines=5,
         memory_tokens=34_484,
         kinds=(
-            attrs.evolve(LONG, per_s=1.75, output_tokens=930),
-            attrs.evolve(SHORT, per_s=2.43),
+            attrs.evolve(LONG, rate_per_s=1.75, output_tokens=930),
+            attrs.evolve(SHORT, rate_per_s=2.43),
         ),
     ),
-    "short bursts": LoadLaw(
+    "short bursts": LoadProfile(
         engines=24,
         memory_tokens=21_896,
-        kinds=(attrs.evolve(SHORT, per_s=60.0, output_tokens=30),),
+        kinds=(attrs.evolve(SHORT, rate_per_s=60.0, output_tokens=30),),
         replaces=False,
     ),
 }
-STANDARD = PlacementPolicy()
+DEFAULT_POLICY = PlacementPolicy()
 POLICIES = {
-    "stands": STANDARD,
-    "prompts not weighed": attrs.evolve(STANDARD, prefill_weight=0.0),
-    "prompts weighed 4": attrs.evolve(STANDARD, prefill_weight=4.0),
-    "prompts weighed 10": attrs.evolve(STANDARD, prefill_weight=10.0),
-    "filled to 0.9": attrs.evolve(STANDARD, fill_limit=0.9),
-    "filled to 1.1": attrs.evolve(STANDARD, fill_limit=1.1),
+    "stands": DEFAULT_POLICY,
+    "prompts not weighed": attrs.evolve(DEFAULT_POLICY, prefill_weight=0.0),
+    "prompts weighed 4": attrs.evolve(DEFAULT_POLICY, prefill_weight=4.0),
+    "prompts weighed 10": attrs.evolve(DEFAULT_POLICY, prefill_weight=10.0),
+    "filled to 0.9": attrs.evolve(DEFAULT_POLICY, fill_limit=0.9),
+    "filled to 1.1": attrs.evolve(DEFAULT_POLICY, fill_limit=1.1),
 }
 
 
-class NoOthers:
-    """One host, which has all in flight."""
+class SingleHostPeers:
+    """Peers of the only host, which has every generation in flight."""
 
     counts_basis = "heard"
 
     def in_flight(self, upstream: str) -> int:
-        """Return what others have there: nothing."""
+        """Return the number in flight on other hosts: zero."""
         return 0
 
     def set_in_flight(self, upstream: str, n: int) -> None:
-        """Tell nobody."""
+        """Do nothing, as there are no peers."""
 
     def send_counts(self) -> None:
-        """Tell nobody."""
+        """Do nothing, as there are no peers."""
 
     def place_for(self, subject: str) -> HostRank:
-        """Return the first place of one."""
+        """Return the rank of the only host."""
         return HostRank(0, 1)
 
 
-class Engines:
-    """The engines that are there now."""
+class LiveEngines:
+    """Upstream list of the engines that run at present."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start with no engines."""
         self.live: list[Upstream] = []
 
     def in_pool(self, pool: str) -> list[Upstream]:
-        """Return all."""
+        """Return all engines, as there is one pool."""
         return list(self.live)
 
     def evacuated(self, pool: str) -> list[Upstream]:
-        """Return none."""
+        """Return an empty list, as no engine is evacuated."""
         return []
 
     def all(self) -> list[Upstream]:
-        """Return all."""
+        """Return all engines."""
         return self.live
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Tell of no change."""
+        """Ignore the callback, as changes are not reported."""
 
 
 @attrs.define(eq=False)
 class Generation:
-    """One generation, from its request to its last token."""
+    """State of a generation from its request to its last token."""
 
     kind: Kind
-    asked_s: float
+    requested_s: float
     output_tokens: int
-    holding: MemoryReservation | None = None
-    unread: MemoryReservation | None = None
-    made_tokens: int = 0
-    seen_s: float | None = None
+    reservation: MemoryReservation | None = None
+    unread_prompt: MemoryReservation | None = None
+    generated_tokens: int = 0
+    last_token_s: float | None = None
     is_late: bool = False
 
 
-class Day:
-    """Play one load under one policy."""
+class Simulation:
+    """Simulate one load profile under one policy."""
 
     def __init__(
         self,
-        law: LoadLaw,
+        profile: LoadProfile,
         policy: PlacementPolicy,
         seed: int,
         length_s: float,
     ) -> None:
-        """Begin with empty engines."""
-        self._law = law
+        """Start with no engines and an empty queue."""
+        self._profile = profile
         self._length_s = length_s
         self._rng = random.Random(seed)
         self._names = itertools.count()
-        self._engines = Engines()
+        self._engines = LiveEngines()
         self._balancer = Balancer(
             cast(Upstreams, self._engines),
-            cast(Peers, NoOthers()),
+            cast(Peers, SingleHostPeers()),
             SystemClock(),
             random.Random(seed),
             "north",
         )
-        self._rooms = MemoryAllocator(self._balancer, policy)
+        self._allocator = MemoryAllocator(self._balancer, policy)
         self._models: dict[str, EngineModel] = {}
-        self._running: dict[str, dict[str, Generation]] = {}
+        self._running_generations: dict[str, dict[str, Generation]] = {}
         self._queue: list[tuple[int, int, Generation]] = []
-        self._agenda: list[tuple[float, int, Callable[[float], None]]] = []
-        self._numbers = itertools.count()
+        self._events: list[tuple[float, int, Callable[[float], None]]] = []
+        self._sequence = itertools.count()
         self._busy: set[str] = set()
         self.counts = dict.fromkeys(
             ("asked", "in time", "late", "refused", "preempted"), 0
         )
 
-    def play(self) -> dict[str, float]:
-        """Return what became of what was asked after the warm-up."""
-        for _ in range(self._law.engines):
-            self._come_up()
-        for kind in self._law.kinds:
-            self._at(0.0, functools.partial(self._ask, kind))
-        if self._law.replaces:
-            self._at(REPLACED_EACH_S, self._replace)
-        while self._agenda and self._agenda[0][0] < self._length_s:
-            now_s, _, act = heapq.heappop(self._agenda)
-            act(now_s)
+    def run(self) -> dict[str, float]:
+        """Return each outcome as a fraction of the measured requests."""
+        for _ in range(self._profile.engines):
+            self._add_engine()
+        for kind in self._profile.kinds:
+            self._schedule(0.0, functools.partial(self._request, kind))
+        if self._profile.replaces:
+            self._schedule(REPLACE_INTERVAL_S, self._replace)
+        while self._events and self._events[0][0] < self._length_s:
+            now_s, _, action = heapq.heappop(self._events)
+            action(now_s)
         asked = max(self.counts["asked"], 1)
         return {name: n / asked for name, n in self.counts.items()}
 
-    def _at(self, when_s: float, act: Callable[[float], None]) -> None:
-        heapq.heappush(self._agenda, (when_s, next(self._numbers), act))
+    def _schedule(self, at_s: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (at_s, next(self._sequence), action))
 
-    def _come_up(self) -> None:
+    def _add_engine(self) -> None:
         name = f"e{next(self._names)}"
         self._engines.live.append(
             Upstream(
@@ -236,7 +237,7 @@
         )
         self._models[name] = EngineModel(
             EngineParameters(
-                memory_tokens=self._law.memory_tokens,
+                memory_tokens=self._profile.memory_tokens,
                 step_base_ms=7.0,
                 step_per_sequence_ms=0.12,
                 step_per_1k_context_ms=0.004,
@@ -245,76 +246,79 @@
                 max_running=24,
             )
         )
-        self._running[name] = {}
+        self._running_generations[name] = {}
 
     def _replace(self, now_s: float) -> None:
-        """Take engines away; what ran there is asked for anew elsewhere."""
-        number = round(len(self._engines.live) * REPLACED_PART)
+        """Remove engines and queue their generations for other engines."""
+        number = round(len(self._engines.live) * REPLACED_FRACTION)
         for upstream in self._rng.sample(self._engines.live, number):
             self._engines.live.remove(upstream)
             del self._models[upstream.name]
-            for generation in self._running.pop(upstream.name).values():
-                self._let_go(generation)
-                self._queue_up(generation)
-            self._come_up()
-        self._place(now_s)
-        self._at(now_s + REPLACED_EACH_S, self._replace)
-
-    def _ask(self, kind: Kind, now_s: float) -> None:
-        self._at(
-            now_s + self._rng.expovariate(kind.per_s),
-            functools.partial(self._ask, kind),
+            for generation in self._running_generations.pop(
+                upstream.name
+            ).values():
+                self._release(generation)
+                self._enqueue(generation)
+            self._add_engine()
+        self._dispatch_queue(now_s)
+        self._schedule(now_s + REPLACE_INTERVAL_S, self._replace)
+
+    def _request(self, kind: Kind, now_s: float) -> None:
+        self._schedule(
+            now_s + self._rng.expovariate(kind.rate_per_s),
+            functools.partial(self._request, kind),
         )
         mu = -(kind.spread**2) / 2
         factor = self._rng.lognormvariate(mu, kind.spread)
         output = max(round(kind.output_tokens * factor), 1)
-        self._count_at(now_s, "asked")
-        self._queue_up(Generation(kind, now_s, output))
-        self._place(now_s)
+        self._count_requested_at(now_s, "asked")
+        self._enqueue(Generation(kind, now_s, output))
+        self._dispatch_queue(now_s)
 
-    def _queue_up(self, generation: Generation) -> None:
-        place = -generation.kind.priority, next(self._numbers)
-        heapq.heappush(self._queue, (*place, generation))
+    def _enqueue(self, generation: Generation) -> None:
+        order = -generation.kind.priority, next(self._sequence)
+        heapq.heappush(self._queue, (*order, generation))
 
-    def _place(self, now_s: float) -> None:
+    def _dispatch_queue(self, now_s: float) -> None:
         while self._queue:
             generation = self._queue[0][2]
             kind = generation.kind
-            is_new = generation.seen_s is None
-            if is_new and now_s - generation.asked_s > kind.target_s:
+            is_new = generation.last_token_s is None
+            if is_new and now_s - generation.requested_s > kind.target_s:
                 heapq.heappop(self._queue)
                 self._count(generation, "refused")
                 continue
-            if not self._begin(generation, now_s):
+            if not self._start(generation, now_s):
                 return
             heapq.heappop(self._queue)
 
-    def _begin(self, generation: Generation, now_s: float) -> bool:
+    def _start(self, generation: Generation, now_s: float) -> bool:
         kind = generation.kind
         tokens = kind.prompt_tokens + kind.output_tokens
-        traits = EngineTraits(memory_tokens=self._law.memory_tokens)
-        upstream = self._rooms.find(Scope(POOL), traits, tokens)
+        traits = EngineTraits(memory_tokens=self._profile.memory_tokens)
+        upstream = self._allocator.find(Scope(POOL), traits, tokens)
         if upstream is None:
             return False
         name = upstream.name
         work = Work(
-            key=str(next(self._numbers)),
-            prompt_tokens=kind.prompt_tokens + generation.made_tokens,
-            output_tokens=generation.output_tokens - generation.made_tokens,
+            key=str(next(self._sequence)),
+            prompt_tokens=kind.prompt_tokens + generation.generated_tokens,
+            output_tokens=generation.output_tokens
+            - generation.generated_tokens,
             priority=kind.priority,
         )
         if not self._models[name].submit(work):
             return False
-        generation.holding = MemoryReservation(
+        generation.reservation = MemoryReservation(
             self._balancer, upstream, tokens
         )
-        generation.unread = MemoryReservation(
+        generation.unread_prompt = MemoryReservation(
             self._balancer, upstream, kind.prompt_tokens, prefill_key
         )
-        self._running[name][work.key] = generation
+        self._running_generations[name][work.key] = generation
         if name not in self._busy:
             self._busy.add(name)
-            self._at(now_s, lambda later_s: self._step(name, later_s))
+            self._schedule(now_s, lambda later_s: self._step(name, later_s))
         return True
 
     def _step(self, name: str, now_s: float) -> None:
@@ -323,69 +327,74 @@
             self._busy.discard(name)
             return
         step = model.step()
-        ended_s = now_s + max(step.duration_ms, 1.0) / 1_000
-        self._at(ended_s, lambda later_s: self._step(name, later_s))
-        self._count_at(now_s, "preempted", len(step.preempted_keys))
-        running = self._running[name]
+        step_end_s = now_s + max(step.duration_ms, 1.0) / 1_000
+        self._schedule(step_end_s, lambda later_s: self._step(name, later_s))
+        self._count_requested_at(now_s, "preempted", len(step.preempted_keys))
+        running = self._running_generations[name]
         for key in step.token_keys:
-            self._take_token(running[key], ended_s)
+            self._take_token(running[key], step_end_s)
         for key in step.finished_keys:
             generation = running.pop(key)
-            self._let_go(generation)
+            self._release(generation)
             outcome = "late" if generation.is_late else "in time"
             self._count(generation, outcome)
         if step.finished_keys:
-            self._place(ended_s)
+            self._dispatch_queue(step_end_s)
 
     def _take_token(self, generation: Generation, now_s: float) -> None:
-        if generation.seen_s is None:
-            waited_s = now_s - generation.asked_s
+        if generation.last_token_s is None:
+            waited_s = now_s - generation.requested_s
             generation.is_late = waited_s > generation.kind.target_s
-        elif now_s - generation.seen_s > self._law.pause_s:
+        elif now_s - generation.last_token_s > self._profile.pause_s:
             generation.is_late = True
-        generation.seen_s = now_s
-        generation.made_tokens += 1
-        if generation.unread is not None:
-            generation.unread.release()
-            generation.unread = None
-
-    def _let_go(self, generation: Generation) -> None:
-        for holding in (generation.holding, generation.unread):
-            if holding is not None:
-                holding.release()
-        generation.holding = generation.unread = None
+        generation.last_token_s = now_s
+        generation.generated_tokens += 1
+        if generation.unread_prompt is not None:
+            generation.unread_prompt.release()
+            generation.unread_prompt = None
+
+    def _release(self, generation: Generation) -> None:
+        for reservation in (generation.reservation, generation.unread_prompt):
+            if reservation is not None:
+                reservation.release()
+        generation.reservation = generation.unread_prompt = None
 
     def _count(self, generation: Generation, outcome: str) -> None:
-        self._count_at(generation.asked_s, outcome)
+        self._count_requested_at(generation.requested_s, outcome)
 
-    def _count_at(self, asked_s: float, outcome: str, n: int = 1) -> None:
-        if WARM_UP_S <= asked_s < self._length_s - COOL_DOWN_S:
+    def _count_requested_at(
+        self, requested_s: float, outcome: str, n: int = 1
+    ) -> None:
+        if WARM_UP_S <= requested_s < self._length_s - COOL_DOWN_S:
             self.counts[outcome] += n
 
 
 def main() -> None:
-    """Print the table."""
+    """Print the outcomes by profile and policy."""
     options = dict(word.lstrip("-").split("=") for word in sys.argv[1:])
     seeds = int(options.get("seeds", 3))
     length_s = float(options.get("length", 60.0))
     table = {
-        law_name: {
-            policy_name: _measure(law, policy, seeds, length_s)
+        profile_name: {
+            policy_name: _measure(profile, policy, seeds, length_s)
             for policy_name, policy in POLICIES.items()
         }
-        for law_name, law in LAWS.items()
+        for profile_name, profile in PROFILES.items()
     }
     print(json.dumps(table, indent=1))
 
 
 def _measure(
-    law: LoadLaw, policy: PlacementPolicy, seeds: int, length_s: float
+    profile: LoadProfile, policy: PlacementPolicy, seeds: int, length_s: float
 ) -> dict[str, list[float]]:
-    """Return mean and standard error of each part."""
-    days = [Day(law, policy, seed, length_s).play() for seed in range(seeds)]
+    """Return the mean and the standard error of each fraction."""
+    runs = [
+        Simulation(profile, policy, seed, length_s).run()
+        for seed in range(seeds)
+    ]
     result = {}
-    for name in days[0]:
-        values = [day[name] for day in days]
+    for name in runs[0]:
+        values = [run[name] for run in runs]
         error = statistics.stdev(values) / len(values) ** 0.5
         result[name] = [round(statistics.mean(values), 4), round(error, 4)]
     return result
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,4 +1,4 @@
-"""Plot the results of the experiment."""
+"""Plot the results of `experiment.py` as bar charts."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Row(Protocol):
-    """Describe one case over its seeds."""
+    """Describe the summary of one case over its seeds."""
 
     deployment: str
     load: float
@@ -35,20 +35,20 @@
     most: dict[str, float]
 
 
-def draw(rows: Sequence[Any], directory: Path) -> None:
-    """Write one plot per deployment and load into a directory."""
+def plot_results(rows: Sequence[Any], directory: Path) -> None:
+    """Write two plots per deployment, over load and over faults."""
     for deployment in sorted({row.deployment for row in rows}):
-        own = [row for row in rows if row.deployment == deployment]
-        by_load = [row for row in own if row.fault == "none"]
-        _draw(
+        selected = [row for row in rows if row.deployment == deployment]
+        by_load = [row for row in selected if row.fault == "none"]
+        _plot_panels(
             by_load,
             [f"{load}" for load in sorted({r.load for r in by_load})],
             lambda row: f"{row.load}",
             f"{deployment}: load in times the capacity, no faults",
             directory / f"policy-{deployment}-load.png",
         )
-        faulty = [row for row in own if row.load == 1.0]
-        _draw(
+        faulty = [row for row in selected if row.load == 1.0]
+        _plot_panels(
             faulty,
             sorted({r.fault for r in faulty}),
             lambda row: str(row.fault),
@@ -57,7 +57,7 @@
         )
 
 
-def _draw(
+def _plot_panels(
     rows: Sequence[Any],
     groups: list[str],
     group_of: Any,
@@ -66,9 +66,11 @@
 ) -> None:
     figure, panels = pyplot.subplots(2, 3, figsize=(13, 7))
     for (name, label), axes in zip(PANELS, panels.flat, strict=True):
-        for place, policy in enumerate(POLICIES):
-            own = {group_of(r): r for r in rows if r.policy == policy}
-            _bars(axes, [own[g] for g in groups], name, place, policy)
+        for policy_index, policy in enumerate(POLICIES):
+            selected = {group_of(r): r for r in rows if r.policy == policy}
+            _plot_bars(
+                axes, [selected[g] for g in groups], name, policy_index, policy
+            )
         axes.set_title(label, fontsize=9)
         axes.set_xticks(range(len(groups)), groups, fontsize=8)
     panels.flat[0].legend(fontsize=8)
@@ -78,15 +80,17 @@
     pyplot.close(figure)
 
 
-def _bars(
-    axes: Any, rows: Sequence[Row], name: str, place: int, policy: str
+def _plot_bars(
+    axes: Any, rows: Sequence[Row], name: str, policy_index: int, policy: str
 ) -> None:
     means = [row.mean[name] for row in rows]
     below = [max(row.mean[name] - row.least[name], 0.0) for row in rows]
     above = [max(row.most[name] - row.mean[name], 0.0) for row in rows]
-    spots = [index + (place - 1) * 0.27 for index in range(len(rows))]
+    positions = [
+        index + (policy_index - 1) * 0.27 for index in range(len(rows))
+    ]
     axes.bar(
-        spots,
+        positions,
         means,
         width=0.25,
         yerr=[below, above],
--- a/bench/readings.py
+++ b/bench/readings.py
@@ -1,4 +1,4 @@
-"""Read the machine and its processes, and sum up what was measured."""
+"""Read figures of the machine and its processes, and summarise them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @attrs.frozen(kw_only=True)
 class Machine:
-    """Describe where figures come from."""
+    """Describe the machine and the software that figures come from."""
 
     cores: int
     memory_mb: int
@@ -34,7 +34,7 @@
 
 @attrs.frozen(kw_only=True)
 class Spread:
-    """Hold the figures of repeated runs in short."""
+    """Hold the range and the mean of a figure over repeated runs."""
 
     low: float
     mean: float
@@ -54,7 +54,7 @@
 
 
 def load_average() -> float:
-    """Return the machine's load over the last minute."""
+    """Return the machine's load average over the last minute."""
     return round(os.getloadavg()[0], 2)
 
 
@@ -82,7 +82,7 @@
 
 
 def spread(values: Sequence[float]) -> Spread:
-    """Return the lowest, the mean and the highest."""
+    """Return the lowest value, the mean and the highest value."""
     return Spread(
         low=round(min(values), 3),
         mean=round(mean(values), 3),
@@ -91,7 +91,7 @@
 
 
 def write_result(file: Path, result: Any) -> None:
-    """Write a result as readable JSON."""
+    """Write a result to a file as indented JSON."""
     encoded = msgspec.json.format(msgspec.json.encode(result), indent=1)
     file.parent.mkdir(parents=True, exist_ok=True)
     file.write_bytes(encoded + b"\n")
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,17 +1,17 @@
-"""Measure what the path through one host costs.
+"""Measure the overhead of relaying streams through one host.
 
 Usage:
   relay.py [--repeats N] [--out FILE]
   relay.py (-h | --help)
 
-One engine stand-in, one platform stand-in, one host, and load from
-processes of their own. Prints and writes: time to first token and gaps
-direct and through the host, tokens relayed per second of the host's
-processor time, and the host's resident memory.
+Starts one engine stand-in, one platform stand-in, one host, and separate
+load processes. Prints and writes: time to first token and gaps between
+tokens, direct and through the host; tokens relayed per second of the host's
+processor time; and the host's resident memory.
 
 Options:
   --repeats N  Runs of each case [default: 2].
-  --out FILE   Where the results go [default: bench/results/relay.json].
+  --out FILE   Result file [default: bench/results/relay.json].
   -h --help    Show this.
 """
 
@@ -44,25 +44,30 @@
 from balsamlift._http import HttpClient
 from balsamlift.testing import Process, start_host, start_stand_in
 
-# The adaptive concurrency of an engine begins at 16 and grows slowly, so
-# that one engine is listed under many names.
-NAMES = 40
+# The adaptive concurrency limit of an engine starts at 16 and grows slowly,
+# so one engine is listed under many names.
+ENGINE_NAMES = 40
 STEP_MS = 20.0
 ANSWER_TOKENS = 476  # 10 million tokens over 21,000 requests a second
-WARM_S = 11.0  # one answer's time and more: all streams have begun
+WARM_UP_S = 11.0  # longer than one answer, so that all streams have started
 MEASURE_S = 8.0
-CPU_FROM_S = 1.0  # after the warm time, so that both agree
-CPU_FOR_S = 6.0
-LOADS = 4  # processes
+CPU_START_DELAY_S = 1.0  # after the warm-up, so that both windows agree
+CPU_WINDOW_S = 6.0
+LOAD_PROCESSES = 4
 DELAY_STREAMS = 100
-DELAY_FRAME = 4  # tokens
-RATES = ((100, 1), (200, 4), (500, 8), (500, 16))  # streams, tokens a frame
+DELAY_TOKENS_PER_FRAME = 4
+RATE_CASES = (
+    (100, 1),
+    (200, 4),
+    (500, 8),
+    (500, 16),
+)  # streams, tokens per frame
 READY_S = 30.0
 
 
 @attrs.frozen(kw_only=True)
 class Delay:
-    """Compare the two ways of one run, in milliseconds."""
+    """Hold the delays of one run, direct and through, in milliseconds."""
 
     tokens_per_frame: int
     first_token_direct_p50: float
@@ -73,7 +78,7 @@
     gap_direct_p99: float
     gap_through_p50: float
     gap_through_p99: float
-    behind_p50: float  # the same token on both ways
+    behind_p50: float  # delay of the same token through the host
     behind_p99: float
     load: float
 
@@ -95,7 +100,7 @@
 
 @attrs.frozen(kw_only=True)
 class Result:
-    """Hold everything that one call measured."""
+    """Hold the results of all runs."""
 
     machine: Machine
     step_ms: float
@@ -111,8 +116,8 @@
 
 
 @attrs.frozen
-class Bench:
-    """Hold the processes of one case."""
+class Deployment:
+    """Hold the host and the engine of one run."""
 
     host: Process
     engine: Process
@@ -123,31 +128,31 @@
             way=way,
             host=self.host.ready["callers_address"],
             engine=self.engine.address,
-            streams=streams // LOADS,
+            streams=streams // LOAD_PROCESSES,
             tokens=ANSWER_TOKENS,
             step_ms=STEP_MS,
-            warm_s=WARM_S,
+            warm_s=WARM_UP_S,
             measure_s=MEASURE_S,
         )
         return attrs.evolve(job, **changes)
 
 
 def main() -> None:
-    """Measure, print and write."""
+    """Run all cases, print the figures and write them to a file."""
     arguments = docopt(__doc__ or "")
     repeats = int(arguments["--repeats"])
     idle = [_measure_idle() for _ in range(repeats)]
     rates = [
         _measure_rate(streams, tokens_per_frame)
-        for streams, tokens_per_frame in RATES
+        for streams, tokens_per_frame in RATE_CASES
         for _ in range(repeats)
     ]
-    delays = [_measure_delay(DELAY_FRAME) for _ in range(repeats)]
-    result = _sum_up(idle, delays, rates)
+    delays = [_measure_delay(DELAY_TOKENS_PER_FRAME) for _ in range(repeats)]
+    result = _summarise(idle, delays, rates)
     write_result(Path(arguments["--out"]), result)
 
 
-def _sum_up(
+def _summarise(
     idle: list[tuple[float, float]], delays: list[Delay], rates: list[Rate]
 ) -> Result:
     def added(name: str) -> Spread:
@@ -177,25 +182,25 @@
 
 def _measure_idle() -> tuple[float, float]:
     with ExitStack() as stack:
-        bench = start(stack, tokens_per_frame=4, names=1)
+        deployment = start_deployment(stack, tokens_per_frame=4, names=1)
         time.sleep(5.0)
-        before_s = cpu_s(bench.host.pid)
+        before_s = cpu_s(deployment.host.pid)
         time.sleep(10.0)
-        share = (cpu_s(bench.host.pid) - before_s) / 10.0
-        found = resident_mb(bench.host.pid), round(share, 4)
-    _show("idle", found)
-    return found
+        share = (cpu_s(deployment.host.pid) - before_s) / 10.0
+        figures = resident_mb(deployment.host.pid), round(share, 4)
+    _print_figures("idle", figures)
+    return figures
 
 
 def _measure_delay(tokens_per_frame: int) -> Delay:
     with ExitStack() as stack:
-        bench = start(stack, tokens_per_frame)
-        jobs = bench.job(DIRECT, DELAY_STREAMS)
-        direct = _merge(run(jobs))
-        jobs = bench.job(THROUGH, DELAY_STREAMS)
-        through = _merge(run(jobs))
+        deployment = start_deployment(stack, tokens_per_frame)
+        jobs = deployment.job(DIRECT, DELAY_STREAMS)
+        direct = _merge(run_job(jobs))
+        jobs = deployment.job(THROUGH, DELAY_STREAMS)
+        through = _merge(run_job(jobs))
         load = load_average()
-        paired = _merge(run(attrs.evolve(jobs, paired=True)))
+        paired = _merge(run_job(attrs.evolve(jobs, paired=True)))
     ways = {"direct": direct, "through": through}
     figures = {
         f"{what}_{way}_p{percent}": percentile(
@@ -212,24 +217,24 @@
         load=load,
         **figures,
     )
-    _show("delay", delay)
+    _print_figures("delay", delay)
     return delay
 
 
 def _measure_rate(streams: int, tokens_per_frame: int) -> Rate:
     with ExitStack() as stack:
-        bench = start(stack, tokens_per_frame)
-        loads = _start_loads(bench.job(THROUGH, streams))
-        time.sleep(WARM_S + CPU_FROM_S)
-        before_s, began_s = cpu_s(bench.host.pid), time.monotonic()
-        time.sleep(CPU_FOR_S)
-        used_s = cpu_s(bench.host.pid) - before_s
-        passed_s = time.monotonic() - began_s
-        held_mb = resident_mb(bench.host.pid)
+        deployment = start_deployment(stack, tokens_per_frame)
+        processes = _start_load_processes(deployment.job(THROUGH, streams))
+        time.sleep(WARM_UP_S + CPU_START_DELAY_S)
+        before_s, started_s = cpu_s(deployment.host.pid), time.monotonic()
+        time.sleep(CPU_WINDOW_S)
+        used_cpu_s = cpu_s(deployment.host.pid) - before_s
+        passed_s = time.monotonic() - started_s
+        memory_mb = resident_mb(deployment.host.pid)
         load = load_average()
-        report = _merge(_collect(loads))
+        report = _merge(_collect(processes))
     tokens_per_s = report.tokens / MEASURE_S
-    cpu_share = used_s / passed_s
+    cpu_share = used_cpu_s / passed_s
     rate = Rate(
         streams=streams,
         tokens_per_frame=tokens_per_frame,
@@ -237,31 +242,33 @@
         tokens_per_frame_seen=round(report.tokens / report.frames, 2),
         cpu_share=round(cpu_share, 3),
         tokens_per_cpu_s=round(tokens_per_s / cpu_share),
-        resident_mb=held_mb,
+        resident_mb=memory_mb,
         not_whole=report.not_whole,
         load=load,
     )
-    _show("rate", rate)
+    _print_figures("rate", rate)
     return rate
 
 
-def start(
-    stack: ExitStack, tokens_per_frame: int, names: int = NAMES
-) -> Bench:
+def start_deployment(
+    stack: ExitStack, tokens_per_frame: int, names: int = ENGINE_NAMES
+) -> Deployment:
     """Start a platform, an engine and a host with a preset in force."""
     platform = stack.enter_context(start_stand_in("platform", {}))
     engine = stack.enter_context(
-        start_stand_in("engine", _engine(tokens_per_frame))
+        start_stand_in("engine", _engine_settings(tokens_per_frame))
     )
-    host = stack.enter_context(start_host(_host(platform.address)))
-    asyncio.run(_prepare(platform.address, engine.address, host, names))
-    return Bench(host, engine)
+    host = stack.enter_context(start_host(_host_settings(platform.address)))
+    asyncio.run(
+        _list_and_publish(platform.address, engine.address, host, names)
+    )
+    return Deployment(host, engine)
 
 
-def _engine(tokens_per_frame: int) -> dict[str, Any]:
+def _engine_settings(tokens_per_frame: int) -> dict[str, Any]:
     return {
         "tokens_per_frame": tokens_per_frame,
-        "flush_ms": 2_000,  # frames leave full
+        "flush_ms": 2_000,  # long enough that frames are sent full
         "retention_ms": 1_000,
         "parameters": {
             "memory_tokens": 100_000_000,
@@ -276,7 +283,7 @@
     }
 
 
-def _host(platform: str) -> dict[str, Any]:
+def _host_settings(platform: str) -> dict[str, Any]:
     return {
         "host": "entry-1",
         "failure_domain": "domain-1",
@@ -299,7 +306,7 @@
     }
 
 
-async def _prepare(
+async def _list_and_publish(
     platform: str, engine: str, host: Process, names: int
 ) -> None:
     http = HttpClient()
@@ -334,7 +341,7 @@
     async with asyncio.timeout(READY_S):
         while (await http.call("GET", url, timeout_ms=5_000)).status != 200:
             await asyncio.sleep(0.1)
-    await asyncio.sleep(3.0)  # the list of hosts lags
+    await asyncio.sleep(3.0)  # until the host has read the list of hosts
     http.close()
 
 
@@ -355,24 +362,24 @@
         )
 
 
-def run(job: Job) -> list[Report]:
-    """Run a job in all load processes to its end."""
-    return _collect(_start_loads(job))
+def run_job(job: Job) -> list[Report]:
+    """Run a job in all load processes and return their reports."""
+    return _collect(_start_load_processes(job))
 
 
-def _start_loads(job: Job) -> list[subprocess.Popen[bytes]]:
+def _start_load_processes(job: Job) -> list[subprocess.Popen[bytes]]:
     script = str(Path(__file__).with_name("stream_load.py"))
     text = msgspec.json.encode(job).decode()
     return [
         subprocess.Popen(
             [sys.executable, script, text], stdout=subprocess.PIPE
         )
-        for _ in range(LOADS)
+        for _ in range(LOAD_PROCESSES)
     ]
 
 
-def _collect(loads: list[subprocess.Popen[bytes]]) -> list[Report]:
-    outputs = [load.communicate()[0] for load in loads]
+def _collect(processes: list[subprocess.Popen[bytes]]) -> list[Report]:
+    outputs = [process.communicate()[0] for process in processes]
     return [msgspec.json.decode(output, type=Report) for output in outputs]
 
 
@@ -380,12 +387,14 @@
     merged = Report()
     for report in reports:
         for field in attrs.fields(Report):
-            both = getattr(merged, field.name) + getattr(report, field.name)
-            setattr(merged, field.name, both)
+            combined = getattr(merged, field.name) + getattr(
+                report, field.name
+            )
+            setattr(merged, field.name, combined)
     return merged
 
 
-def _show(title: str, figures: Any) -> None:
+def _print_figures(title: str, figures: Any) -> None:
     print(title, msgspec.json.encode(figures).decode(), flush=True)
 
 
--- a/bench/stream_load.py
+++ b/bench/stream_load.py
@@ -1,4 +1,4 @@
-"""Read streams as callers do, from a process of its own.
+"""Generate load by reading streams as callers do, in a separate process.
 
 Usage:
   stream_load.py JOB
@@ -35,13 +35,13 @@
 THROUGH = "through"
 CONNECT_MS = 5_000
 SILENCE_MS = 15_000
-RETRY_S = 0.2
-END_S = 5.0
+RETRY_DELAY_S = 0.2
+CANCEL_TIMEOUT_S = 5.0
 
 
 @attrs.frozen(kw_only=True)
 class Job:
-    """Say which streams to keep open, and for how long."""
+    """Describe which streams to keep open, and for how long."""
 
     way: str  # DIRECT or THROUGH
     host: str  # a caller's address
@@ -56,7 +56,7 @@
 
 @attrs.define(kw_only=True)
 class Report:
-    """Hold what was measured, in milliseconds and counts."""
+    """Hold delays in milliseconds, and counts."""
 
     first_token_ms: list[float] = attrs.field(factory=list)
     gap_ms: list[float] = attrs.field(factory=list)  # per frame
@@ -67,11 +67,11 @@
     frames: int = 0
 
 
-class Load:
-    """Keep a number of streams open, one request after the other."""
+class LoadGenerator:
+    """Keep a number of streams open by repeating requests."""
 
     def __init__(self, job: Job) -> None:
-        """Begin with nothing measured."""
+        """Start with an empty report."""
         self._job = job
         self._streams = StreamClient()
         self._http = HttpClient()
@@ -81,11 +81,11 @@
         self._number = 0
 
     async def run(self) -> Report:
-        """Read streams for the time of the job."""
+        """Read streams for the duration of the job and return the report."""
         if self._job.way == THROUGH:
             await self._find_prefix()
         readers = [
-            asyncio.create_task(self._ask_again(number))
+            asyncio.create_task(self._repeat_requests(number))
             for number in range(self._job.streams)
         ]
         await asyncio.sleep(self._job.warm_s)
@@ -94,7 +94,7 @@
         self._measuring = False
         for reader in readers:
             reader.cancel()
-        _, late = await asyncio.wait(readers, timeout=END_S)
+        _, late = await asyncio.wait(readers, timeout=CANCEL_TIMEOUT_S)
         for reader in late:
             reader.print_stack(limit=5)
         return self._report
@@ -104,43 +104,45 @@
         answer = await self._http.call("GET", url, timeout_ms=CONNECT_MS)
         self._prefix = answer.decode(Addresses).addresses[0].key_prefix
 
-    async def _ask_again(self, number: int) -> None:
-        # Spread over one answer's time, so that the load is even.
+    async def _repeat_requests(self, number: int) -> None:
+        # Starts are spread over one answer's duration to even out the load.
         answer_s = self._job.tokens * self._job.step_ms / 1_000
         await asyncio.sleep(answer_s * number / self._job.streams)
         while True:
             try:
-                whole = await self._ask()
+                whole = await self._run_request()
             except StreamError:
                 whole = False
             if self._measuring:
                 self._report.whole += whole
                 self._report.not_whole += not whole
             if not whole:
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _ask(self) -> bool:
-        began_s = time.perf_counter()
+    async def _run_request(self) -> bool:
+        started_s = time.perf_counter()
         stream = self._open()
         last_s = 0.0
         arrived: dict[int, float] = {}
-        second: asyncio.Task[None] | None = None
+        direct_reader: asyncio.Task[None] | None = None
         whole = False
         async for event in stream.events():
             now_s = time.perf_counter()
             if event.name == "token":
                 frame = event.decode(Tokens)
-                self._note(frame, now_s, began_s, last_s)
+                self._record_frame(frame, now_s, started_s, last_s)
                 last_s = now_s
                 if self._job.paired:
                     arrived[frame.index + len(frame.tokens)] = now_s
             elif event.name == "start" and self._job.paired:
                 generation = event.decode(Start).generation
-                second = asyncio.create_task(self._pair(generation, arrived))
+                direct_reader = asyncio.create_task(
+                    self._read_directly(generation, arrived)
+                )
             elif event.name == "end":
                 whole = self._is_whole(event.decode(msgspec.Raw))
-        if second is not None:
-            await second
+        if direct_reader is not None:
+            await direct_reader
         return whole
 
     def _open(self) -> Stream:
@@ -168,8 +170,8 @@
         end = msgspec.json.decode(data, type=GenerationEnd)
         return end.tokens == self._job.tokens
 
-    def _note(
-        self, frame: Tokens, now_s: float, began_s: float, last_s: float
+    def _record_frame(
+        self, frame: Tokens, now_s: float, started_s: float, last_s: float
     ) -> None:
         if not self._measuring:
             return
@@ -177,12 +179,14 @@
         report.frames += 1
         report.tokens += len(frame.tokens)
         if frame.index == 0:
-            report.first_token_ms.append((now_s - began_s) * 1_000)
+            report.first_token_ms.append((now_s - started_s) * 1_000)
         else:
             report.gap_ms.append((now_s - last_s) * 1_000)
 
-    async def _pair(self, generation: str, arrived: dict[int, float]) -> None:
-        """Read the same generation directly; note how far behind we are."""
+    async def _read_directly(
+        self, generation: str, arrived: dict[int, float]
+    ) -> None:
+        """Read the generation directly and record the delay per token."""
         url = f"http://{self._job.engine}/v1/generations/{generation}?from=0"
         stream = self._streams.open(
             "GET", url, connect_ms=CONNECT_MS, silence_ms=SILENCE_MS
@@ -198,7 +202,8 @@
                 for after, at_s in direct.items()
                 if after in arrived
             ]
-            # The first frame may have left before the second reader came.
+            # The first frame may have been sent before the direct reader
+            # connected.
             self._report.behind_ms += behind[1:]
 
 
@@ -210,10 +215,10 @@
 
 
 async def _run(job: Job) -> None:
-    report = await Load(job).run()
+    report = await LoadGenerator(job).run()
     sys.stdout.write(msgspec.json.encode(report).decode())
     sys.stdout.flush()
-    # The streams still open have nothing more to tell.
+    # Exit without closing the open streams; the report is complete.
     os._exit(0)
 
 
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""Show the whole path: stand-ins, hosts, presets, requests, time line.
+"""Run a complete demo: stand-ins, hosts, presets, requests, timeline.
 
 Run by scripts/demo. Everything listens on 127.0.0.0/8, and every process
 that is started here is stopped by its id at the end.
@@ -24,12 +24,12 @@
 
 EXAMPLES = Path(__file__).parent
 DEPLOYMENTS = ("warisan-pulih", "mitad-del-mundo")
-IN_FORCE_S = 30.0
-CALL_MS = 5_000
+IN_FORCE_TIMEOUT_S = 30.0
+CALL_TIMEOUT_MS = 5_000
 
 
 def main() -> int:
-    """Run the demo of one deployment; 0 when every answer came whole."""
+    """Run the demo of one deployment; return 0 if all answers are complete."""
     deployment = sys.argv[1] if len(sys.argv) > 1 else DEPLOYMENTS[1]
     folder = EXAMPLES / deployment
     with ExitStack() as stack:
@@ -38,11 +38,15 @@
         hosts = _start_hosts(folder, stack)
         asyncio.run(_list_hosts(platform, hosts))
         _publish(folder, platform)
-        outcomes = asyncio.run(_ask(hosts, folder))
-        _show_time_line(hosts[0], outcomes[-1][0])
-    whole = all(outcome.outcome == "whole" for _, outcome in outcomes)
-    print("# every answer came whole" if whole else "# NOT every answer")
-    return 0 if whole else 1
+        outcomes = asyncio.run(_run_requests(hosts, folder))
+        _print_timeline(hosts[0], outcomes[-1][0])
+    all_whole = all(outcome.outcome == "whole" for _, outcome in outcomes)
+    print(
+        "# every answer is complete"
+        if all_whole
+        else "# NOT every answer is complete"
+    )
+    return 0 if all_whole else 1
 
 
 def _start_stand_ins(folder: Path, stack: ExitStack) -> str:
@@ -74,7 +78,7 @@
 
 
 async def _list_hosts(platform: str, hosts: list[dict[str, Any]]) -> None:
-    """Do what the platform does by itself: list the hosts."""
+    """List the hosts on the stand-in, as the platform does by itself."""
     http = HttpClient()
     for host in hosts:
         entry = {
@@ -88,53 +92,56 @@
             "state": "live",
         }
         url = f"http://{platform}/v1/hosts/{host['host']}"
-        await http.call("PUT", url, entry, timeout_ms=CALL_MS)
+        await http.call("PUT", url, entry, timeout_ms=CALL_TIMEOUT_MS)
     http.close()
 
 
 def _publish(folder: Path, platform: str) -> None:
     for name in ("ordinary", "peak", "maintenance"):
         file = folder / "presets" / f"{name}.json5"
-        _command("preset", "publish", str(file), "--log", platform)
-    _command("preset", "switch", "ordinary", "--log", platform)
+        _run_command("preset", "publish", str(file), "--log", platform)
+    _run_command("preset", "switch", "ordinary", "--log", platform)
 
 
-def _command(*arguments: str) -> None:
+def _run_command(*arguments: str) -> None:
     print("$ balsamlift", *(Path(a).name for a in arguments))
     subprocess.run(
         [sys.executable, "-m", "balsamlift", *arguments], check=True
     )
 
 
-async def _ask(
+async def _run_requests(
     hosts: list[dict[str, Any]], folder: Path
 ) -> list[tuple[str, Outcome]]:
     addresses = [host["callers_address"] for host in hosts]
     client = Client(addresses, workspace=_workspace(folder))
-    await _wait_in_force(client)
+    await _wait_for_preset(client)
     outcomes = []
     for request in _requests(folder):
-        words: list[str] = []
-        began_s = time.monotonic()
+        tokens: list[str] = []
+        started_s = time.monotonic()
         keys: list[str] = []
         outcome = await client.run(
-            request, words.extend, on_key=keys.append, attempts=3
+            request, tokens.extend, on_key=keys.append, attempts=3
         )
-        spent_ms = (time.monotonic() - began_s) * 1_000
-        print(f"\n# {request.kind}: {outcome.outcome} in {spent_ms:.0f} ms")
+        elapsed_ms = (time.monotonic() - started_s) * 1_000
+        print(f"\n# {request.kind}: {outcome.outcome} in {elapsed_ms:.0f} ms")
         print(f"  {outcome.tokens} tokens, digest {outcome.digest[:16]}")
-        print(f"  begins: {' '.join(words[:8])!r}, result: {outcome.result}")
-        told = "".join(word + "\0" for word in words)
-        if words:
-            assert hashlib.sha256(told.encode()).hexdigest() == outcome.digest
+        print(f"  begins: {' '.join(tokens[:8])!r}, result: {outcome.result}")
+        joined_tokens = "".join(token + "\0" for token in tokens)
+        if tokens:
+            assert (
+                hashlib.sha256(joined_tokens.encode()).hexdigest()
+                == outcome.digest
+            )
         outcomes.append((keys[-1], outcome))
     client.close()
     return outcomes
 
 
-async def _wait_in_force(client: Client) -> None:
-    ends_s = time.monotonic() + IN_FORCE_S
-    while time.monotonic() < ends_s:
+async def _wait_for_preset(client: Client) -> None:
+    deadline_s = time.monotonic() + IN_FORCE_TIMEOUT_S
+    while time.monotonic() < deadline_s:
         try:
             await client.places()
             return
@@ -150,20 +157,24 @@
 
 
 def _requests(folder: Path) -> list[Request]:
-    """Return a plain call, one not to be repeated, and a report."""
+    """Return a plain call, a call that must not be repeated, and a report."""
     preset = json5.loads((folder / "presets" / "ordinary.json5").read_text())
-    once = "refund" if "refund" in preset["kinds"] else "tag"
+    non_repeatable = "refund" if "refund" in preset["kinds"] else "tag"
     lookup = "stock" if "stock" in preset["kinds"] else "lookup"
     return [
         Request(kind=lookup, payload={"item": "A-17"}),
-        Request(kind=once, prompt="[length=12]", payload={"claim": 42}),
+        Request(
+            kind=non_repeatable, prompt="[length=12]", payload={"claim": 42}
+        ),
         Request(kind="report", prompt="Notes of the bench. [length=120]"),
     ]
 
 
-def _show_time_line(host: dict[str, Any], key: str) -> None:
-    print("\n# the time line of the report, over all processes")
-    _command("timeline", "--at", host["operators_address"], "--request", key)
+def _print_timeline(host: dict[str, Any], key: str) -> None:
+    print("\n# the timeline of the report, across all processes")
+    _run_command(
+        "timeline", "--at", host["operators_address"], "--request", key
+    )
 
 
 if __name__ == "__main__":
--- a/examples/embed.py
+++ b/examples/embed.py
@@ -1,4 +1,4 @@
-"""Use three parts as a library, without a daemon."""
+"""Use the clock, streams and requests as a library, without a daemon."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def keep_an_answer() -> Answer:
-    """Keep tokens once and in order, though frames overlap."""
+    """Collect tokens once and in order from overlapping frames."""
     answer = Answer()
     answer.begin("generation-1")
     for index, tokens in [(0, ["a", "b"]), (1, ["b", "c"]), (0, ["a"])]:
@@ -19,7 +19,7 @@
 
 
 def remember_a_key() -> bool:
-    """Remember what became of a key, and return whether it was found."""
+    """Store the outcome of a key and return whether the key is found."""
     home = Home("entry-1", "c0ffee")
     table = KeyTable(home, SystemClock(), lifetime_ms=60_000, capacity=100)
     key = parse(new_homed_key(table.prefix))
