--- a/bench/peer_cost.py
+++ b/bench/peer_cost.py
@@ -136,7 +136,7 @@
         await self._server.start(Kernel())
 
     async def stop(self) -> None:
-        """Close the address."""
+        """Stop listening."""
         await self._server.stop()
 
 
@@ -144,7 +144,7 @@
     """Answer with the list, or 304 when the reader is up to date."""
 
     def initialize(self, stand_in: PlatformStandIn) -> None:
-        """Keep the stand-in."""
+        """Store the stand-in, which counts the answers."""
         self._stand_in = stand_in
 
     def get(self) -> None:
@@ -161,7 +161,7 @@
     """Answer for any engine."""
 
     def initialize(self, stand_in: PlatformStandIn) -> None:
-        """Keep the stand-in."""
+        """Store the stand-in, which counts the answers."""
         self._stand_in = stand_in
 
     def get(self) -> None:
@@ -192,7 +192,7 @@
         return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
     async def snapshot(self, http: HttpClient) -> Snapshot:
-        """Return its metrics."""
+        """Return the host's metrics."""
         url = f"http://{self.operators_address}/v1/metrics"
         answer = await http.call("GET", url, timeout_ms=10_000)
         return answer.decode(Snapshot)
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -18,8 +18,8 @@
     ("preemptions", "preemptions per 1,000 requests"),
     ("short_gap_p99_ms", "p99 gap of short work, ms"),
     ("gap_p999_ms", "p99.9 gap, ms"),
-    ("goodput_per_s", "whole and in time, requests/s"),
-    ("share_least", "least share of a workspace, of its fair one"),
+    ("goodput_per_s", "complete and in time, requests/s"),
+    ("share_least", "lowest share of a workspace, of its fair share"),
 )
 
 
@@ -44,7 +44,7 @@
             by_load,
             [f"{load}" for load in sorted({r.load for r in by_load})],
             lambda row: f"{row.load}",
-            f"{deployment}: load in times the capacity, no faults",
+            f"{deployment}: load as a multiple of capacity, no faults",
             directory / f"policy-{deployment}-load.png",
         )
         faulty = [row for row in selected if row.load == 1.0]
@@ -52,7 +52,7 @@
             faulty,
             sorted({r.fault for r in faulty}),
             lambda row: str(row.fault),
-            f"{deployment}: faults at the load 1.0",
+            f"{deployment}: faults at load 1.0",
             directory / f"policy-{deployment}-faults.png",
         )
 
@@ -74,7 +74,7 @@
         axes.set_title(label, fontsize=9)
         axes.set_xticks(range(len(groups)), groups, fontsize=8)
     panels.flat[0].legend(fontsize=8)
-    figure.suptitle(f"{title} (mean of the seeds; bars: least to most)")
+    figure.suptitle(f"{title} (mean over seeds; bars: least to most)")
     figure.tight_layout()
     figure.savefig(path, dpi=80)
     pyplot.close(figure)
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -56,12 +56,8 @@
 LOAD_PROCESSES = 4
 DELAY_STREAMS = 100
 DELAY_TOKENS_PER_FRAME = 4
-RATE_CASES = (
-    (100, 1),
-    (200, 4),
-    (500, 8),
-    (500, 16),
-)  # streams, tokens per frame
+# (streams, tokens per frame)
+RATE_CASES = ((100, 1), (200, 4), (500, 8), (500, 16))
 READY_S = 30.0
 
 
--- a/bench/stream_load.py
+++ b/bench/stream_load.py
@@ -44,7 +44,7 @@
     """Describe which streams to keep open, and for how long."""
 
     way: str  # DIRECT or THROUGH
-    host: str  # a caller's address
+    host: str  # its callers' address
     engine: str
     streams: int
     tokens: int  # of each answer
--- a/models/order_lease.py
+++ b/models/order_lease.py
@@ -64,9 +64,7 @@
         yield from _log_steps(state, index, guards)
         yield from _order_steps(state, index, guards)
     for order in state.orders:
-        other_orders = tuple(
-            other_host for other_host in state.orders if other_host != order
-        )
+        other_orders = tuple(other for other in state.orders if other != order)
         yield "lose order", state._replace(orders=other_orders)
         yield "deliver order", _deliver(state, order, other_orders, guards)
     yield from _routing_steps(state, guards)
@@ -115,8 +113,8 @@
 
 
 def _has_unread_records(state: State, host: Host) -> bool:
-    known_lease = (host.known_lease.offset, host.generation)
-    return known_lease != (state.lease.offset, state.generation)
+    known = (host.known_lease.offset, host.generation)
+    return known != (state.lease.offset, state.generation)
 
 
 def _may_append(host: Host, index: int, guards: Guards) -> bool:
--- a/models/preset_fold.py
+++ b/models/preset_fold.py
@@ -257,9 +257,8 @@
     )
     if guards.operation_appended_once:
         return
-    second_operation = index + len(
-        OPERATORS
-    )  # a new operation of the same operator
+    # The second append is a new operation of the same operator.
+    second_operation = index + len(OPERATORS)
     expected = fold_all(state.log, guards).generation
     appended = _append(
         state, Switch(second_operation, index, expected), guards
