--- a/src/balsamlift/peers/_aggregation.py
+++ b/src/balsamlift/peers/_aggregation.py
@@ -4,7 +4,7 @@
 records, so that the others need not read them.
 
 Up to the fan-out, each host hears the counts of all others. Beyond it, a sum
-scaled up from the partners is too imprecise for an engine with room for few
+scaled up from the partners is too imprecise for an engine with memory for few
 generations. So all hosts send their counts to one of them, which answers with
 the sums. It keeps no durable state: another host replaces it as soon as it is
 gone.
@@ -38,16 +38,16 @@
 
 # Counts are sent with each generation that begins or ends, and at least this
 # often, so that a host that has just become the aggregator receives them all.
-REFRESH_S = 1.0
+REFRESH_INTERVAL_S = 1.0
 # Sums older than this are not used: the partners' counts are newer.
-FRESH_S = 1.5
+MAX_FRESH_AGE_S = 1.5
 # Sums newer than this include the latest placements. With older ones, all
 # hosts choose the same upstreams.
-RECENT_S = 0.2
+MAX_RECENT_AGE_S = 0.2
 # A generation waits no longer for better counts.
 ANSWER_TIMEOUT_MS = 80
 # A host that did not answer is skipped for this long.
-AVOID_S = 1.0
+AVOID_TIME_S = 1.0
 # Hosts asked in a row when one does not answer: the sums of this host must not
 # become stale because the aggregator has just died.
 MAX_HOSTS_ASKED = 3
@@ -116,14 +116,18 @@
         """Return whether the sums are new enough to be used."""
         if self._sums_received_s is None:
             return False
-        return self._clock.monotonic() - self._sums_received_s <= FRESH_S
+        return (
+            self._clock.monotonic() - self._sums_received_s <= MAX_FRESH_AGE_S
+        )
 
     @property
     def is_recent(self) -> bool:
         """Return whether the sums lack only the very latest placements."""
         if self._sums_received_s is None:
             return False
-        return self._clock.monotonic() - self._sums_received_s <= RECENT_S
+        return (
+            self._clock.monotonic() - self._sums_received_s <= MAX_RECENT_AGE_S
+        )
 
     def others(self, upstream: str) -> int:
         """Return the sum over all other hosts."""
@@ -155,7 +159,7 @@
     async def _keep_sending(self) -> None:
         while True:
             try:
-                async with asyncio.timeout(REFRESH_S):
+                async with asyncio.timeout(REFRESH_INTERVAL_S):
                     await self._wake.wait()
             except TimeoutError:
                 pass  # no change to send: a refresh is due
@@ -187,7 +191,7 @@
             self._avoid(aggregator)
 
     def _avoid(self, target: AggregatorHost) -> None:
-        self._avoided_s[target.host] = self._clock.monotonic() + AVOID_S
+        self._avoided_s[target.host] = self._clock.monotonic() + AVOID_TIME_S
 
     async def _request_missing_records(
         self, aggregator: AggregatorHost
--- a/src/balsamlift/peers/_follower.py
+++ b/src/balsamlift/peers/_follower.py
@@ -30,7 +30,7 @@
 log = logger.bind(part="store")
 
 # Interval at which a host checks whether it has become a reader.
-ROLE_CHECK_S = 1.0
+ROLE_CHECK_INTERVAL_S = 1.0
 # Shortest wait: a timer that fires early must not cause a busy loop.
 MIN_WAIT_S = 0.02
 # The records of a reader are older than the wait of one read by the pause
@@ -179,7 +179,10 @@
         sent_s = self._clock.monotonic()
         try:
             batch = await self._store.read(
-                self._topic, self._table.end, wait_ms, self._note_incoming_end
+                self._topic,
+                self._table.end,
+                wait_ms,
+                self._record_incoming_end,
             )
         except HistoryLostError:
             log.bind(topic=self._topic, offset=self._table.end).info(
@@ -277,7 +280,7 @@
         self._target_end = max(self._target_end, end or 0, next_end)
         self._woken.set()
 
-    def _note_incoming_end(self, end: int) -> None:
+    def _record_incoming_end(self, end: int) -> None:
         self._incoming_end = max(self._incoming_end, end)
 
     @property
@@ -322,7 +325,7 @@
         left_s = self._limits.max_age_s - self.age_s
         retry_in_s = self._fallback_reads.next_read_s(self._topic) - now_s
         wait_s = max(left_s, retry_in_s, MIN_WAIT_S)
-        return min(wait_s, ROLE_CHECK_S)
+        return min(wait_s, ROLE_CHECK_INTERVAL_S)
 
     async def _fallback_read(self) -> bool:
         age_s = self.age_s
--- a/src/balsamlift/peers/_link.py
+++ b/src/balsamlift/peers/_link.py
@@ -21,8 +21,8 @@
 
 SEND_BUFFER = 4  # messages that wait for the connection
 BATCH_S = 0.01  # changes within this time are batched into one message
-RECONNECT_MIN_MS = 100
-RECONNECT_MAX_MS = 2_000
+MIN_RECONNECT_MS = 100
+MAX_RECONNECT_MS = 2_000
 
 
 @attrs.frozen
@@ -166,8 +166,8 @@
     def _dial(self) -> None:
         push = pynng.Push0(
             send_buffer_size=SEND_BUFFER,
-            reconnect_time_min=RECONNECT_MIN_MS,
-            reconnect_time_max=RECONNECT_MAX_MS,
+            reconnect_time_min=MIN_RECONNECT_MS,
+            reconnect_time_max=MAX_RECONNECT_MS,
         )
         try:
             push.dial(f"tcp://{self.address}", block=False)
--- a/src/balsamlift/peers/_list_reader.py
+++ b/src/balsamlift/peers/_list_reader.py
@@ -64,7 +64,7 @@
             settings.hosts_poll_ms,
             max(settings.hosts_poll_ms, MAX_RETRY_MS),
         )
-        self.is_down = False
+        self.is_unavailable = False
 
     async def start(self, timeline: Timeline, metrics: Metrics) -> None:
         """Read the list once, then keep reading it."""
@@ -107,7 +107,7 @@
             await self._read()
 
     def _pause_s(self) -> float:
-        if self.is_down:
+        if self.is_unavailable:
             return self._back_off.failed()
         pause_ms = self._settings.hosts_poll_ms
         if not self._is_reader():
@@ -132,24 +132,24 @@
         try:
             entries = await self._source.read()
         except HostsUnavailableError as error:
-            self._note_down(error)
+            self._record_unavailable(error)
             return
-        self._note_up()
+        self._record_available()
         self._on_reading(entries)
 
-    def _note_down(self, error: HostsUnavailableError) -> None:
+    def _record_unavailable(self, error: HostsUnavailableError) -> None:
         self._metrics.count("hosts.down")
-        if self.is_down:
+        if self.is_unavailable:
             return
-        self.is_down = True
+        self.is_unavailable = True
         log.warning("list of hosts is unavailable: {}", error)
         self._timeline.record("hosts_down", reason=error.message)
 
-    def _note_up(self) -> None:
+    def _record_available(self) -> None:
         self._back_off.succeeded()
-        if not self.is_down:
+        if not self.is_unavailable:
             return
-        self.is_down = False
+        self.is_unavailable = False
         log.info("list of hosts is available again")
         self._timeline.record("hosts_up")
         self.suspend_removals()
--- a/src/balsamlift/peers/_observed_states.py
+++ b/src/balsamlift/peers/_observed_states.py
@@ -64,7 +64,7 @@
         self._since_s[state, by_peer] = now_s
         return is_new
 
-    def note_answer(self, draining: bool | None, now_s: float) -> bool:
+    def record_answer(self, draining: bool | None, now_s: float) -> bool:
         """Record an answer; return whether that added an observation.
 
         `draining` is None if the upstream does not report it.
@@ -78,7 +78,7 @@
                 del self._since_s[key]
         return False
 
-    def note_listed_live(self, now_s: float) -> None:
+    def record_listed_live(self, now_s: float) -> None:
         """Record that a continuously followed list shows it as live."""
         for key, since_s in list(self._since_s.items()):
             if now_s - since_s >= LISTED_HOLD_S:
--- a/src/balsamlift/peers/_probes.py
+++ b/src/balsamlift/peers/_probes.py
@@ -20,15 +20,15 @@
 
 log = logger.bind(part="probes")
 
-TICK_S = 0.1
-TIMEOUT_MS = 1_000
-CONNECT_MS = 500
+CHECK_INTERVAL_S = 0.1
+PROBE_TIMEOUT_MS = 1_000
+CONNECT_TIMEOUT_MS = 500
 PROBERS_PER_ENGINE = 2  # hosts that probe each live engine
 PROBES_PER_S = 4.0  # of one host, over all live engines it probes
 MIN_INTERVAL_S = 0.5
 FIRST_RETRY_S = 0.2
 MAX_RETRY_S = 5.0
-MAX_CONCURRENT = 32
+MAX_CONCURRENT_PROBES = 32
 # Consecutive requests without an answer before an upstream counts as dead: a
 # single late answer is not enough.
 MAX_UNANSWERED = 2
@@ -64,7 +64,7 @@
     def mark(self, name: str, state: UpstreamState, source: str) -> None:
         """Record an observed state."""
 
-    def note_answer(self, name: str, draining: bool | None) -> None:
+    def record_answer(self, name: str, draining: bool | None) -> None:
         """Record an answer; `draining` is None if it is not reported."""
 
     def on_change(self, callback: Callable[[], None]) -> None:
@@ -131,7 +131,7 @@
                 if due_s <= now_s and self._start_probe(name):
                     jitter = self._random.uniform(0.8, 1.2)
                     self._due_s[name] = now_s + interval_s * jitter
-            await self._clock.sleep(TICK_S)
+            await self._clock.sleep(CHECK_INTERVAL_S)
 
     def _update_targets(self) -> None:
         """Recompute which upstreams to probe, if anything changed."""
@@ -183,7 +183,10 @@
         It does not if another probe of the upstream is running, or too many
         probes are.
         """
-        if name in self._running or len(self._running) >= MAX_CONCURRENT:
+        if (
+            name in self._running
+            or len(self._running) >= MAX_CONCURRENT_PROBES
+        ):
             return False
         task = asyncio.create_task(self._probe(name))
         self._running[name] = task
@@ -199,19 +202,19 @@
             answer = await self._http.call(
                 "GET",
                 f"http://{upstream.address}/v1/state",
-                timeout_ms=TIMEOUT_MS,
-                connect_ms=CONNECT_MS,
+                timeout_ms=PROBE_TIMEOUT_MS,
+                connect_ms=CONNECT_TIMEOUT_MS,
                 fresh=fresh,
             )
         except CallError as error:
-            self._note_failure(name, error)
+            self._record_failure(name, error)
             return
         self._unanswered.pop(name, None)
         current = self._upstreams.find(name)
         if current is not None and current.address == upstream.address:
-            self._upstreams.note_answer(name, _decode_draining(answer))
+            self._upstreams.record_answer(name, _decode_draining(answer))
 
-    def _note_failure(self, name: str, error: CallError) -> None:
+    def _record_failure(self, name: str, error: CallError) -> None:
         unanswered = self._unanswered.get(name, 0) + 1
         self._unanswered[name] = unanswered
         if not error.sent or unanswered >= MAX_UNANSWERED:
--- a/src/balsamlift/peers/_sharing.py
+++ b/src/balsamlift/peers/_sharing.py
@@ -43,19 +43,19 @@
     def compose(
         self,
         host: str,
-        heard: PeerStatus | None,
+        peer_status: PeerStatus | None,
         offset: int,
         upstreams: Upstreams,
     ) -> SharedPlatformState | None:
         """Return the data or requests for a message to `host`, or None.
 
-        `offset` is that of the configuration of this host, `heard` the last
-        state that the peer sent.
+        `offset` is that of the configuration of this host, `peer_status` the
+        last status that the peer sent, if any.
         """
-        configuration = self._overdue_configuration(host, heard, offset)
+        configuration = self._overdue_configuration(host, peer_status, offset)
         wants_list = upstreams.is_list_unavailable
         listed = []
-        if heard is not None and heard.wants_list:
+        if peer_status is not None and peer_status.wants_list:
             listed = upstreams.entries_to_share()
         if not (configuration or wants_list or listed):
             return None
@@ -72,10 +72,10 @@
         upstreams.apply_peer_list(shared.listed)
 
     def _overdue_configuration(
-        self, host: str, heard: PeerStatus | None, offset: int
+        self, host: str, peer_status: PeerStatus | None, offset: int
     ) -> bytes:
         """Return the configuration if the peer lags for too long, else b""."""
-        if heard is None or heard.offset >= offset:
+        if peer_status is None or peer_status.offset >= offset:
             self._lagging_since_s.pop(host, None)
             return b""
         now_s = self._clock.monotonic()
--- a/src/balsamlift/peers/_upstreams.py
+++ b/src/balsamlift/peers/_upstreams.py
@@ -206,12 +206,14 @@
         if is_new and not by_peer:
             self._notify_mark(known.listed, state)
 
-    def note_answer(self, name: str, draining: bool | None) -> None:
+    def record_answer(self, name: str, draining: bool | None) -> None:
         """Record that the upstream answered a probe of this host."""
         known = self._known.get(name)
         if known is None:
             return
-        is_new = known.observed.note_answer(draining, self._clock.monotonic())
+        is_new = known.observed.record_answer(
+            draining, self._clock.monotonic()
+        )
         self._refresh(known, "probe")
         if is_new:
             self._notify_mark(known.listed, "leaving")
@@ -219,7 +221,7 @@
     @property
     def is_list_unavailable(self) -> bool:
         """Return whether the last read of the list failed."""
-        return self._reader.is_down
+        return self._reader.is_unavailable
 
     def suspend_removals(self) -> None:
         """Keep upstreams that are missing from the list for a grace period.
@@ -349,7 +351,7 @@
         """Report listed states other than live to peers.
 
         Peers may be unable to read the list. This is repeated after each
-        read, also of an unchanged list, because notes to peers expire.
+        read, also of an unchanged list, because reports to peers expire.
         """
         for known in self._known.values():
             if known.listed.state != "live":
@@ -409,7 +411,7 @@
         now_s = self._clock.monotonic()
         for known in list(self._known.values()):
             if known.observed.worst != "live" and known.listed.state == "live":
-                known.observed.note_listed_live(now_s)
+                known.observed.record_listed_live(now_s)
                 self._refresh(known, LIST_SOURCE)
 
     def _remove(self, names: Iterable[str]) -> None:
--- a/src/balsamlift/relay/_backup.py
+++ b/src/balsamlift/relay/_backup.py
@@ -15,9 +15,9 @@
     their generations have been moved.
     """
 
-    def __init__(self, tools: GenerationContext, job: Job) -> None:
+    def __init__(self, context: GenerationContext, job: Job) -> None:
         """Start without a backup."""
-        self._tools = tools
+        self._context = context
         self._job = job
         self._reservation: MemoryReservation | None = None
 
@@ -27,7 +27,7 @@
         job = self._job
         if not job.traits.can_back_up:
             return
-        self._reservation = self._tools.rooms.reserve_backup(
+        self._reservation = self._context.allocator.reserve_backup(
             job.scope, source, job.traits, job.tokens
         )
 
@@ -40,7 +40,7 @@
         """Return the headers that name the backup to the running engine."""
         if self._reservation is None:
             return []
-        names = self._tools.names
+        names = self._context.names
         return [(names.backup_address, self._reservation.upstream.address)]
 
     def take(self) -> Upstream | None:
@@ -49,7 +49,9 @@
         self.release()
         if reservation is None:
             return None
-        if not self._tools.upstreams.may_take_work(reservation.upstream.name):
+        if not self._context.upstreams.may_take_work(
+            reservation.upstream.name
+        ):
             return None
         return reservation.upstream
 
--- a/src/balsamlift/relay/_balance.py
+++ b/src/balsamlift/relay/_balance.py
@@ -84,7 +84,7 @@
 
     @property
     def receives_pushed_counts(self) -> bool:
-        """Tell whether other hosts push their counts as they change."""
+        """Return whether other hosts push their counts as they change."""
         return self._peers.is_full_mesh
 
     @property
@@ -179,7 +179,7 @@
             self._cold_starts.record_send(upstream)
 
     def is_blocked_by_operators(self, scope: Scope) -> bool:
-        """Tell whether operators leave no upstream for a call.
+        """Return whether operators leave no upstream for a call.
 
         Either by evacuations, or because its route and its workspace have no
         region in common.
--- a/src/balsamlift/relay/_caller_stream.py
+++ b/src/balsamlift/relay/_caller_stream.py
@@ -73,7 +73,9 @@
         super().close(exc_info)
 
     def _reject_slow_head(self) -> None:
-        log.bind(status=408, peer=self._peer()).info("head came too slowly")
+        log.bind(status=408, peer=self._peer()).info(
+            "timed out reading a head"
+        )
         with contextlib.suppress(OSError):  # caller disconnected; logged
             self.write_to_fd(memoryview(_closing_response(408)))
         self.close()
--- a/src/balsamlift/relay/_cold_starts.py
+++ b/src/balsamlift/relay/_cold_starts.py
@@ -34,14 +34,14 @@
 
 
 def host_share(
-    place: HostRank, tolerated_per_s: float, limits: ColdLimits
+    rank: HostRank, tolerated_per_s: float, limits: ColdLimits
 ) -> int:
     """Return how many requests a second that host may send an upstream."""
     limit = int(tolerated_per_s * limits.factor + limits.extra_per_s)
     # A limit of less than one request per group goes to a single group.
     group_limit = max(limit // MEMBERSHIP_GROUPS, min(limit, 1))
-    quotient, remainder = divmod(group_limit, place.hosts)
-    return quotient + (place.position < remainder)
+    quotient, remainder = divmod(group_limit, rank.hosts)
+    return quotient + (rank.position < remainder)
 
 
 class ColdStartLimiter:
@@ -57,7 +57,7 @@
         """Apply no limit if `limits` is None.
 
         `tolerated_per_s` returns what an upstream of a pool tolerates, or
-        None for no limit; `place_for` returns this host's place among all
+        None for no limit; `place_for` returns this host's rank among all
         hosts that it knows of.
         """
         self._limits = limits
@@ -68,7 +68,7 @@
         self._send_times: dict[str, deque[float]] = {}
 
     def allows(self, upstream: Upstream) -> bool:
-        """Tell whether this host may send one more request there now."""
+        """Return whether this host may send one more request there now."""
         if self._limits is None:
             return True
         now_s = self._clock.monotonic()
@@ -77,8 +77,8 @@
             return True
         if now_s < self._started_s + STARTUP_S:
             return False
-        place = self._place_for(upstream.name)
-        share = host_share(place, tolerated_per_s, self._limits)
+        rank = self._place_for(upstream.name)
+        share = host_share(rank, tolerated_per_s, self._limits)
         return self._recent_sends(upstream.name, now_s) < share
 
     def record_send(self, upstream: Upstream) -> None:
--- a/src/balsamlift/relay/_crash_guard.py
+++ b/src/balsamlift/relay/_crash_guard.py
@@ -45,7 +45,7 @@
         await self._detector.stop()
 
     def is_culprit(self, call: Call) -> bool:
-        """Tell whether a request must be refused."""
+        """Return whether a request must be refused."""
         return call.fingerprint in self._culprits
 
     def record_completed(self, call: Call) -> None:
--- a/src/balsamlift/relay/_directory.py
+++ b/src/balsamlift/relay/_directory.py
@@ -105,7 +105,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether this host accepts requests."""
+        """Return whether this host accepts requests."""
         return self._routing.is_configured and not self._peers.leaving
 
     def find(self, caller: Caller) -> AddressAnswer:
--- a/src/balsamlift/relay/_engines.py
+++ b/src/balsamlift/relay/_engines.py
@@ -15,7 +15,7 @@
 
 
 class CopyRefusedError(CopyError):
-    """Raised when the target has no room for a copy or is being evacuated.
+    """Raised when the target has no memory for a copy or is being evacuated.
 
     If the generation was stopped for the copy, `handle` names its memory at
     the source.
--- a/src/balsamlift/relay/_generation.py
+++ b/src/balsamlift/relay/_generation.py
@@ -66,14 +66,14 @@
         context: GenerationContext,
         job: Job,
         responder: Responder,
-        holding: MemoryReservation,
+        reservation: MemoryReservation,
         backup: Backup,
     ) -> None:
         """Create a relay to `responder`; `relay` starts it."""
         self._context = context
         self._job = job
         self._responder = responder
-        self._holding = holding
+        self._reservation = reservation
         self._backup = backup
         self._splitter = EventSplitter()
         self._inbox: asyncio.Queue[bytes | Signal] = asyncio.Queue()
@@ -112,7 +112,7 @@
             try:
                 await end_task(self._move_task)
             finally:
-                self._release_claim()
+                self._release_move()
 
     # Reading from the current engine
 
@@ -134,10 +134,10 @@
             self._reply.connection.close()
 
     async def _read_body(self, reply: Reply) -> None:
-        has_output = False
+        had_output = False
         try:
             async for chunk in reply.connection.read_body(reply.head):
-                has_output = True
+                had_output = True
                 await self._buffer_slots.acquire()
                 self._inbox.put_nowait(chunk)
         except UpstreamBrokenError as error:
@@ -148,7 +148,7 @@
             ).info("{}", error)
             self._inbox.put_nowait("broken")
             self._context.crash_guard.check_broken_call(
-                self._job.call, reply.upstream, had_output=has_output
+                self._job.call, reply.upstream, had_output=had_output
             )
             return
         self._context.exchange.release_connection(reply.connection)
@@ -205,7 +205,7 @@
     def _start_move(self) -> None:
         if not self._job.traits.can_move or self._move_task is not None:
             return
-        self._move = Move(self._context, self._job, self._holding.upstream)
+        self._move = Move(self._context, self._job, self._reservation.upstream)
         self._move_task = asyncio.create_task(self._move.run())
 
     async def _resume_elsewhere(self) -> bool:
@@ -217,7 +217,7 @@
             source = f"{copy.source.address}/{copy.handle}"
             return await self._resume_at(copy.target, source)
         finally:
-            self._release_claim()
+            self._release_move()
 
     async def _recover(self) -> bool:
         """Resume at the backup unless too many engines were lost.
@@ -231,7 +231,7 @@
             return False
         return await self._resume_at_backup()
 
-    def _release_claim(self) -> None:
+    def _release_move(self) -> None:
         if self._move is not None:
             self._move.release()
 
@@ -256,7 +256,7 @@
         return await self._resume_at(upstream, source)
 
     async def _resume_at(self, upstream: Upstream, source: str) -> bool:
-        before = self._holding.upstream
+        before = self._reservation.upstream
         self._backup.choose(upstream)
         reply = await self._request_resume(upstream, source)
         log.bind(
@@ -265,7 +265,7 @@
             target=upstream.name,
             event=self._splitter.last_id,
             source=source,
-        ).info("went on" if reply else "could not go on")
+        ).info("resumed on another engine" if reply else "could not resume")
         if reply is None:
             self._backup.release()
             return False
@@ -273,7 +273,7 @@
         self._context.metrics.count("generations.moved")
         self._stop_reading()
         self._discard_buffered()
-        self._holding.move(upstream)
+        self._reservation.move(upstream)
         self._splitter = EventSplitter(self._splitter.last_id)
         self._start_reading(reply)
         return True
--- a/src/balsamlift/relay/_generation_context.py
+++ b/src/balsamlift/relay/_generation_context.py
@@ -22,7 +22,7 @@
 
     exchange: Exchange
     balancer: Balancer
-    rooms: MemoryAllocator
+    allocator: MemoryAllocator
     engines: EngineClient
     names: HeaderNames
     metrics: Metrics
--- a/src/balsamlift/relay/_generations.py
+++ b/src/balsamlift/relay/_generations.py
@@ -26,7 +26,7 @@
 from balsamlift.relay._memory_allocator import MemoryReservation
 from balsamlift.relay._refusals import (
     give_up,
-    no_room,
+    no_memory,
     no_upstream,
     timed_out,
 )
@@ -56,7 +56,7 @@
     """An engine's response and the memory reserved for the generation."""
 
     reply: Reply
-    holding: MemoryReservation
+    reservation: MemoryReservation
     backup: Backup
 
 
@@ -86,31 +86,35 @@
         """
         self._leaves_at_s = leaves_at_s
 
-    def _fits_before_leaving(self, need: TokenEstimate) -> bool:
+    def _fits_before_leaving(self, estimate: TokenEstimate) -> bool:
         if self._leaves_at_s is None:
             return True
         remaining_s = self._leaves_at_s - asyncio.get_running_loop().time()
-        expected_s = EXPECTED_START_S + need.output_tokens * EXPECTED_TOKEN_S
+        expected_s = (
+            EXPECTED_START_S + estimate.output_tokens * EXPECTED_TOKEN_S
+        )
         return expected_s <= remaining_s
 
     async def run(self, call: Call, responder: Responder) -> Outcome:
         """Respond to the caller and return the outcome for the log."""
         attempt = Attempt(is_idempotent=False)
-        need = read_token_estimate(call.request.headers, self._context.names)
-        if not self._fits_before_leaving(need):
+        estimate = read_token_estimate(
+            call.request.headers, self._context.names
+        )
+        if not self._fits_before_leaving(estimate):
             # Another host can finish it; this one would have to abort it.
             refusal = give_up(attempt, "host is leaving", 0)
             responder.refuse(refusal)
             return Outcome(refusal.reason)
         service = call.table.services.get(call.service)
         traits = (service.engine if service else None) or DEFAULT_TRAITS
-        job = Job(call, need, traits)
+        job = Job(call, estimate, traits)
         try:
             async with asyncio.timeout_at(call.timeout_at_s):
                 result = await self._start(job, attempt)
                 if isinstance(result, _StartedGeneration):
                     text = await self._relay(result, job, responder)
-                    upstream = result.holding.upstream.name
+                    upstream = result.reservation.upstream.name
                     return Outcome(text, upstream, attempt.sends)
         except TimeoutError:
             if responder.is_started:
@@ -130,18 +134,18 @@
             if self._context.crash_guard.is_culprit(call):
                 return CRASHING_REQUEST
             sends_before = attempt.sends
-            holding = await self._wait_for_room(job, tried)
-            if holding is None:
+            reservation = await self._wait_for_memory(job, tried)
+            if reservation is None:
                 now_s = asyncio.get_running_loop().time()
                 if self._context.balancer.is_blocked_by_operators(call.scope):
                     return no_upstream(attempt, call, now_s)
-                return no_room(attempt, call, now_s)
+                return no_memory(attempt, call, now_s)
             backup = Backup(self._context, job)
-            backup.choose(holding.upstream)
-            self._log_placed(call, holding, backup)
-            unread_prompt = MemoryReservation(
+            backup.choose(reservation.upstream)
+            self._log_placed(call, reservation, backup)
+            pending_prefill = MemoryReservation(
                 self._context.balancer,
-                holding.upstream,
+                reservation.upstream,
                 job.estimate.prompt_tokens,
                 prefill_key,
             )
@@ -151,19 +155,19 @@
                 if self._context.crash_guard.is_culprit(call):
                     return CRASHING_REQUEST
                 result = await self._send(
-                    call, attempt, holding.upstream, backup.headers()
+                    call, attempt, reservation.upstream, backup.headers()
                 )
             except BaseException:
-                holding.release()
+                reservation.release()
                 backup.release()
                 raise
             finally:
-                unread_prompt.release()
+                pending_prefill.release()
             if isinstance(result, Reply):
-                return _StartedGeneration(result, holding, backup)
-            holding.release()
+                return _StartedGeneration(result, reservation, backup)
+            reservation.release()
             backup.release()
-            tried.add(holding.upstream.name)
+            tried.add(reservation.upstream.name)
             if attempt.sends == sends_before:
                 unreachable += 1  # the request was not sent
                 if unreachable >= MAX_UNREACHABLE_UPSTREAMS:
@@ -175,7 +179,7 @@
             if not self._retries.spend(call.service):
                 return result
 
-    async def _wait_for_room(
+    async def _wait_for_memory(
         self, job: Job, tried: set[str]
     ) -> MemoryReservation | None:
         """Return memory reserved in an engine, or None if it took too long."""
@@ -185,22 +189,22 @@
         try:
             async with asyncio.timeout_at(wait_by_s):
                 await self._context.balancer.refresh()
-                return await self._context.rooms.wait(
+                return await self._context.allocator.wait(
                     call.scope, job.traits, job.tokens, call.priority, tried
                 )
         except TimeoutError:
             return None
 
     def _log_placed(
-        self, call: Call, holding: MemoryReservation, backup: Backup
+        self, call: Call, reservation: MemoryReservation, backup: Backup
     ) -> None:
         waited_s = asyncio.get_running_loop().time() - call.request.arrived_s
         balancer = self._context.balancer
-        upstream = holding.upstream.name
+        upstream = reservation.upstream.name
         log.bind(
             request=call.request_id,
             upstream=upstream,
-            tokens=holding.tokens,
+            tokens=reservation.tokens,
             load=balancer.load(upstream),  # including this call
             unread=balancer.load(prefill_key(upstream)),  # excluding this call
             counts=balancer.counts_basis,
@@ -227,7 +231,7 @@
                 upstream=upstream.name,
                 out_ms=round(backoff_s * 1_000),
                 may_have_run=attempt.may_have_run,
-            ).warning("left alone: {}", error)
+            ).warning("ejected: {}", error)
             if isinstance(error, UpstreamBrokenError):
                 self._context.crash_guard.check_broken_call(
                     call, upstream, had_output=False
@@ -252,7 +256,7 @@
     ) -> str:
         reply = started.reply
         generation = Generation(
-            self._context, job, responder, started.holding, started.backup
+            self._context, job, responder, started.reservation, started.backup
         )
         self._running.add(generation)
         if self._is_leaving(reply.upstream):
@@ -267,7 +271,7 @@
             stats = generation.stats
             log.bind(
                 request=job.request_id,
-                upstream=started.holding.upstream.name,
+                upstream=started.reservation.upstream.name,
                 first_ms=stats.first_ms,
                 gap_ms=stats.gap_ms,
                 moves=stats.moves,
@@ -278,7 +282,7 @@
             return outcome
         finally:
             self._running.discard(generation)
-            started.holding.release()
+            started.reservation.release()
             started.backup.release()
 
     async def _forward_failure(
--- a/src/balsamlift/relay/_health.py
+++ b/src/balsamlift/relay/_health.py
@@ -62,7 +62,7 @@
         return results.failure_share if results else 0.0
 
     def is_ejected(self, upstream: str, now_s: float) -> bool:
-        """Tell whether the upstream is ejected."""
+        """Return whether the upstream is ejected."""
         results = self._results.get(upstream)
         return results is not None and now_s < results.ejected_until_s
 
--- a/src/balsamlift/relay/_link_access.py
+++ b/src/balsamlift/relay/_link_access.py
@@ -13,9 +13,9 @@
 from balsamlift.relay._termination import TerminationEstimate, queue_position
 
 # Interval between checks whether the link is free.
-POLL_S = 0.01
+POLL_INTERVAL_S = 0.01
 # Same if the check requires a request to another host.
-REMOTE_POLL_S = 0.04
+REMOTE_POLL_INTERVAL_S = 0.04
 # Additional delay for each position in the queue, so that the copy of the
 # preceding generation is known before the next one would start.
 POSITION_DELAY_S = 0.008
@@ -58,7 +58,7 @@
 
     @property
     def is_only_copy(self) -> bool:
-        """Tell whether no copy other than this one is in progress."""
+        """Return whether no copy other than this one is in progress."""
         return self._balancer.load(self._link) <= 1
 
     @contextmanager
@@ -95,7 +95,9 @@
     async def _wait_until_free(self) -> None:
         loop = asyncio.get_running_loop()
         poll_s = (
-            POLL_S if self._balancer.receives_pushed_counts else REMOTE_POLL_S
+            POLL_INTERVAL_S
+            if self._balancer.receives_pushed_counts
+            else REMOTE_POLL_INTERVAL_S
         )
         while await self._is_busy():
             await asyncio.sleep(poll_s)
--- a/src/balsamlift/relay/_move.py
+++ b/src/balsamlift/relay/_move.py
@@ -36,17 +36,17 @@
 
     def __init__(
         self,
-        tools: GenerationContext,
+        context: GenerationContext,
         job: Job,
         source: Upstream,
     ) -> None:
         """Start at the engine's notice, which has just arrived."""
-        self._tools = tools
+        self._context = context
         self._job = job
         self._source = source
         self._reservation: MemoryReservation | None = None
         self._link_access = LinkAccess(
-            tools.balancer, tools.engines, source, job.request_id
+            context.balancer, context.engines, source, job.request_id
         )
 
     async def run(self) -> MemoryCopy | None:
@@ -88,9 +88,9 @@
             self._reservation = None
 
     async def _reserve_target(self, tried: set[str]) -> Upstream | None:
-        tools = self._tools
+        context = self._context
         self._reservation = await reserve_for_move(
-            tools, self._job, self._source.failure_domain, tried
+            context, self._job, self._source.failure_domain, tried
         )
         return self._reservation.upstream if self._reservation else None
 
@@ -99,13 +99,13 @@
         await self._link_access.wait(self._full_copy_s(target))
         left_s = self._link_access.termination.terminates_s - loop.time()
         position = self._link_access.position
-        self._log(target, f"begins, {position} ahead, {left_s:.2f} s left")
+        self._log(target, f"started, {position} ahead, {left_s:.2f} s left")
         with self._link_access.hold():
             await self._pre_copy(target)
-            if self._tools.upstreams.is_in_evacuation(target):
+            if self._context.upstreams.is_in_evacuation(target):
                 raise CopyRefusedError(target.name, "evacuated")
             stopped_s = loop.time()
-            copy = await self._tools.engines.copy(
+            copy = await self._context.engines.copy(
                 self._source, self._job.request_id, target, stop=True
             )
         stop_ms = round((loop.time() - stopped_s) * 1_000)
@@ -124,7 +124,7 @@
         idle_link_s = self._full_copy_s(target) * FREE_LINK_FACTOR
         while True:
             started_s = loop.time()
-            await self._tools.engines.copy(
+            await self._context.engines.copy(
                 self._source, self._job.request_id, target, stop=False
             )
             took_s = loop.time() - started_s
--- a/src/balsamlift/relay/_move_reservation.py
+++ b/src/balsamlift/relay/_move_reservation.py
@@ -31,7 +31,7 @@
 
 
 async def reserve_for_move(
-    tools: GenerationContext,
+    context: GenerationContext,
     job: Job,
     near_domain: str,
     tried: Collection[str],
@@ -42,26 +42,26 @@
     """
     max_load = job.traits.memory_tokens * MOVE_FILL_LIMIT
     for _ in range(MAX_CONFLICTS):
-        reservation = await _reserve_best(tools, job, near_domain, tried)
+        reservation = await _reserve_best(context, job, near_domain, tried)
         if reservation is None:
             return None
-        if tools.balancer.load(reservation.upstream.name) <= max_load:
+        if context.balancer.load(reservation.upstream.name) <= max_load:
             return reservation
         reservation.release()
-        await asyncio.sleep(tools.rng.uniform(0.0, MAX_RETRY_DELAY_S))
-    return await _reserve_best(tools, job, near_domain, tried)
+        await asyncio.sleep(context.rng.uniform(0.0, MAX_RETRY_DELAY_S))
+    return await _reserve_best(context, job, near_domain, tried)
 
 
 async def _reserve_best(
-    tools: GenerationContext,
+    context: GenerationContext,
     job: Job,
     near_domain: str,
     tried: Collection[str],
 ) -> MemoryReservation | None:
     """Reserve the best engine and wait until other reservations are known."""
-    balancer = tools.balancer
+    balancer = context.balancer
     await balancer.refresh()
-    upstream = tools.rooms.find(
+    upstream = context.allocator.find(
         job.scope,
         job.traits,
         job.tokens,
@@ -71,7 +71,7 @@
     )
     if upstream is None:
         return None
-    reservation = tools.rooms.reserve(upstream, job.tokens)
+    reservation = context.allocator.reserve(upstream, job.tokens)
     try:
         await asyncio.sleep(SETTLE_S)
         await balancer.refresh()
--- a/src/balsamlift/relay/_refusals.py
+++ b/src/balsamlift/relay/_refusals.py
@@ -11,7 +11,7 @@
 # replacement is starting.
 RETRY_NO_UPSTREAM_MS = 2_000
 # Engines have free memory again as generations end.
-RETRY_NO_ROOM_MS = 4_000
+RETRY_NO_MEMORY_MS = 4_000
 # Upper bound of Retry-After, as a fraction of the caller's remaining time.
 RETRY_AFTER_FRACTION = 0.3
 
@@ -22,9 +22,9 @@
     return give_up(attempt, "no upstream", wait_ms)
 
 
-def no_room(attempt: Attempt, call: Call, now_s: float) -> Refusal:
+def no_memory(attempt: Attempt, call: Call, now_s: float) -> Refusal:
     """Return the refusal of a generation that no engine has memory for."""
-    wait_ms = _limit_to_deadline(call, now_s, RETRY_NO_ROOM_MS)
+    wait_ms = _limit_to_deadline(call, now_s, RETRY_NO_MEMORY_MS)
     return give_up(attempt, "no room", wait_ms)
 
 
--- a/src/balsamlift/relay/_scope.py
+++ b/src/balsamlift/relay/_scope.py
@@ -13,7 +13,7 @@
     regions: frozenset[str] | None = None  # None: any region
 
     def allows(self, region: str) -> bool:
-        """Tell whether upstreams in `region` may run the call."""
+        """Return whether upstreams in `region` may run the call."""
         return self.regions is None or region in self.regions
 
 
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -42,9 +42,9 @@
 log = logger.bind(part="relay")
 
 # How often waiting generations check for memory released by other hosts.
-ROOM_POLL_INTERVAL_S = 0.1
+MEMORY_POLL_INTERVAL_S = 0.1
 # The same if the load counts have to be requested from another host.
-GATHERED_ROOM_POLL_INTERVAL_S = 0.3
+REMOTE_MEMORY_POLL_INTERVAL_S = 0.3
 # Interval between removals of stale connections and records.
 SWEEP_INTERVAL_S = 1.0
 
@@ -106,7 +106,7 @@
             ),
             self._settings.regions,
         )
-        self._rooms = MemoryAllocator(balancer)
+        self._allocator = MemoryAllocator(balancer)
         self._retries = RetryBudget(
             self._settings.retries,
             lambda: len(peers.live()) + 1,
@@ -127,7 +127,7 @@
         context = GenerationContext(
             exchange=exchange,
             balancer=balancer,
-            rooms=self._rooms,
+            allocator=self._allocator,
             engines=self._engines,
             names=names,
             metrics=self._metrics,
@@ -138,18 +138,18 @@
         self._generations = Generations(
             context, self._admission, self._retries, self._upstreams
         )
-        self._doubts = LeavingDetector(
+        self._leaving_detector = LeavingDetector(
             self._upstreams,
             self._engines,
             self._clock,
             self._generations.engines_in_use,
         )
-        self._doubts.start()
+        self._leaving_detector.start()
         self._frontend = frontend
         routing.on_change(self._apply_limits)
         frontend.serve(self.handle)
         self._tasks = [
-            asyncio.create_task(self._poll_for_room()),
+            asyncio.create_task(self._poll_for_memory()),
             asyncio.create_task(self._sweep_periodically()),
         ]
 
@@ -164,7 +164,7 @@
 
     async def stop(self) -> None:
         """Close the connections to upstreams."""
-        await self._doubts.stop()
+        await self._leaving_detector.stop()
         await self._crash_guard.stop()
         for task in self._tasks:
             await end_task(task)
@@ -221,17 +221,17 @@
     def _apply_limits(self, table: RoutingTable) -> None:
         self._frontend.limits = table.configuration.limits
 
-    async def _poll_for_room(self) -> None:
+    async def _poll_for_memory(self) -> None:
         while True:
             is_full_mesh = self._peers.is_full_mesh
             await self._clock.sleep(
-                ROOM_POLL_INTERVAL_S
+                MEMORY_POLL_INTERVAL_S
                 if is_full_mesh
-                else GATHERED_ROOM_POLL_INTERVAL_S
+                else REMOTE_MEMORY_POLL_INTERVAL_S
             )
-            if self._rooms.waiting_count:
+            if self._allocator.waiting_count:
                 await self._balancer.refresh()
-                self._rooms.place_waiting()
+                self._allocator.place_waiting()
 
     async def _sweep_periodically(self) -> None:
         while True:
--- a/src/balsamlift/relay/_shared_health.py
+++ b/src/balsamlift/relay/_shared_health.py
@@ -73,15 +73,13 @@
         return share
 
 
-def should_avoid(
-    reports: HealthReports, place: Callable[[], HostRank]
-) -> bool:
-    """Tell whether a host at `place` must not send to an upstream."""
+def should_avoid(reports: HealthReports, rank: Callable[[], HostRank]) -> bool:
+    """Return whether a host of that `rank` must not send to an upstream."""
     if max(reports.failing, reports.on_probation) < MIN_FAILING_HOSTS:
         return False
     if reports.failing:
         return reports.failing > reports.serving
-    return not reports.serving and place().position >= PROBATION_HOSTS
+    return not reports.serving and rank().position >= PROBATION_HOSTS
 
 
 @attrs.define
@@ -93,11 +91,11 @@
     ttl_s: float
 
     def is_current(self, now_s: float) -> bool:
-        """Tell whether the observation has not expired yet."""
+        """Return whether the observation has not expired yet."""
         return now_s <= self.observed_s + self.ttl_s
 
     def is_on_probation(self, now_s: float) -> bool:
-        """Tell whether it keeps the upstream on probation."""
+        """Return whether it keeps the upstream on probation."""
         return self.is_failing and now_s <= self.observed_s + PROBATION_S
 
 
@@ -114,7 +112,7 @@
         """Set counts by `set_count` and send them by `publish_counts`.
 
         `others_count` returns the sum of the other hosts' counts of a key;
-        `place_for` returns this host's place in the order of hosts for an
+        `place_for` returns this host's rank among the hosts for an
         upstream.
         """
         self._set_count = set_count
@@ -159,7 +157,7 @@
         self._publish(now_s)
 
     def _is_on_probation(self, name: str, now_s: float) -> bool:
-        """Tell whether a failure still keeps an upstream on probation.
+        """Return whether a failure still keeps an upstream on probation.
 
         Probation ends early once the upstream serves hosts and fails none.
         """
@@ -204,7 +202,7 @@
                 hosts_failing=reports.failing,
                 hosts_serving=reports.serving,
                 hosts_careful=reports.on_probation,
-            ).info("avoided" if name in avoided else "avoided no more")
+            ).info("avoided" if name in avoided else "no longer avoided")
         self._avoided = (self._avoided - before) | avoided
 
     def _count(self, key: str) -> int:
--- a/src/balsamlift/relay/_termination.py
+++ b/src/balsamlift/relay/_termination.py
@@ -71,10 +71,12 @@
         self._noticed_s = noticed_s
         self._longest_left_s: float | None = None
 
-    def update(self, leaves_s: float | None) -> None:
+    def update(self, time_left_s: float | None) -> None:
         """Update the estimate with the time left stated by a report."""
-        if leaves_s is not None:
-            self._longest_left_s = max(leaves_s, self._longest_left_s or 0.0)
+        if time_left_s is not None:
+            self._longest_left_s = max(
+                time_left_s, self._longest_left_s or 0.0
+            )
 
     @property
     def terminates_s(self) -> float:
--- a/src/balsamlift/relay/_unary.py
+++ b/src/balsamlift/relay/_unary.py
@@ -168,7 +168,7 @@
             upstream=upstream.name,
             out_ms=round(backoff_s * 1_000),
             may_have_run=attempt.may_have_run,
-        ).warning("left alone: {}", cause)
+        ).warning("ejected: {}", cause)
 
     def _max_sends(self, call: Call) -> int:
         return max(call.route.most_attempts, 1)
@@ -187,5 +187,9 @@
             request=call.request_id,
             sends=attempt.sends,
             may_have_run=attempt.may_have_run,
-        ).info("tries another" if is_allowed else "retry budget spent")
+        ).info(
+            "retrying on another upstream"
+            if is_allowed
+            else "retry budget spent"
+        )
         return is_allowed
--- a/tests/test_peers_aggregation.py
+++ b/tests/test_peers_aggregation.py
@@ -21,7 +21,7 @@
 )
 from balsamlift.peers._aggregation import (
     ANSWER_TIMEOUT_MS,
-    FRESH_S,
+    MAX_FRESH_AGE_S,
     AggregatorHost,
     CountsAggregation,
 )
@@ -163,7 +163,7 @@
         set_distinct_counts(cluster)
         await until_exact(cluster)
         assert cluster.by_host["h00"].is_fresh
-        cluster.clock.offset_s = FRESH_S + 0.1
+        cluster.clock.offset_s = MAX_FRESH_AGE_S + 0.1
         assert not cluster.by_host["h00"].is_fresh
 
     run(test)
@@ -245,13 +245,13 @@
     assert updates.aggregator.handle_update(update).counts == {}
 
 
-@pytest.mark.parametrize("most", [1, 9, 30])
-def test_all_hosts_agree_on_the_readers(most: int) -> None:
+@pytest.mark.parametrize("max_readers", [1, 9, 30])
+def test_all_hosts_agree_on_the_readers(max_readers: int) -> None:
     readers = {
-        own for own in HOSTS if is_reader(own, set(HOSTS) - {own}, most)
+        own for own in HOSTS if is_reader(own, set(HOSTS) - {own}, max_readers)
     }
-    assert len(readers) == min(most, len(HOSTS))
-    assert readers == set(rank_hosts(HOSTS)[:most])
+    assert len(readers) == min(max_readers, len(HOSTS))
+    assert readers == set(rank_hosts(HOSTS)[:max_readers])
 
 
 class Topic:
@@ -282,8 +282,8 @@
 ) -> Follower:
     """Connect a host to a topic that the first in rank cannot read."""
     is_first = aggregation.host == rank_hosts(HOSTS[:5])[0]
-    pace = FreshnessLimits(wait_ms=100, max_age_s=30.0)
-    follower = Follower(Topic(not is_first), "t", clock, pace)
+    limits = FreshnessLimits(wait_ms=100, max_age_s=30.0)
+    follower = Follower(Topic(not is_first), "t", clock, limits)
     follower.confirm(clock.monotonic())  # fresh: no host has to read yet
     records = aggregation._records
     follower.share(lambda: records.has_recent_requests)
--- a/tests/test_peers_messages.py
+++ b/tests/test_peers_messages.py
@@ -42,8 +42,10 @@
     upstream_reports=[UpstreamReport("e1", "10.0.0.1:80", "dead", 500)],
     shared=SharedPlatformState(True, b"routes", [ListEntry("e2", "upstream")]),
 )
-NEWS = TopicUpdate(9, 20, True, [Record("k", None, 8), Record("l", b"v", 7)])
-SUMS = CountsSums({"e1": 3}, RecordsAnswer(4, None, b"routes", NEWS))
+TOPIC_UPDATE = TopicUpdate(
+    9, 20, True, [Record("k", None, 8), Record("l", b"v", 7)]
+)
+SUMS = CountsSums({"e1": 3}, RecordsAnswer(4, None, b"routes", TOPIC_UPDATE))
 UPDATE = CountsUpdate("h1", "i1", 5, {"e1": 3}, True, Position(4, None))
 MESSAGES = [
     (encode_message(HEARTBEAT), decode_message),
--- a/tests/test_peers_tables.py
+++ b/tests/test_peers_tables.py
@@ -1,4 +1,4 @@
-"""Tables of members, counts and notes that hosts exchange."""
+"""Tables of members, counts and reports that hosts exchange."""
 
 import random
 
@@ -137,7 +137,7 @@
     assert peers.total("e1") == 3
 
 
-def note(
+def report(
     ttl_ms: int = UPSTREAM_REPORT_TTL_MS, address: str = "a:1"
 ) -> UpstreamReport:
     return UpstreamReport(
@@ -145,15 +145,15 @@
     )
 
 
-def test_notes_expire() -> None:
+def test_reports_expire() -> None:
     tables = [UpstreamReports() for _ in range(3)]
-    tables[0].add(note(), now_s=0.0)
+    tables[0].add(report(), now_s=0.0)
     now_s, added = 0.0, 0
     while now_s < 3 * UPSTREAM_REPORT_TTL_MS / 1_000:
         for sender in tables:
             for receiver in tables:
-                for news in sender.changed_since(0, now_s):
-                    added += receiver.add(news, now_s)
+                for received in sender.changed_since(0, now_s):
+                    added += receiver.add(received, now_s)
         now_s += 0.5
         for table in tables:
             table.expire(now_s)
@@ -161,25 +161,27 @@
     assert not any(table.changed_since(0, now_s) for table in tables)
 
 
-def test_a_note_is_for_one_incarnation_and_applied_once() -> None:
-    notes = UpstreamReports()
-    notes.add(note(address="a:1"), now_s=0.0)
-    assert notes.to_apply({"e1": "a:2"}.__getitem__) == []
-    assert notes.to_apply({"e1": "a:1"}.__getitem__) == [note()]
-    assert notes.to_apply({"e1": "a:1"}.__getitem__) == []
-    assert not notes.add(note(ttl_ms=UPSTREAM_REPORT_TTL_MS - 10), now_s=1.0)
-    assert notes.add(note(), now_s=20.0)
+def test_a_report_is_for_one_incarnation_and_applied_once() -> None:
+    reports = UpstreamReports()
+    reports.add(report(address="a:1"), now_s=0.0)
+    assert reports.to_apply({"e1": "a:2"}.__getitem__) == []
+    assert reports.to_apply({"e1": "a:1"}.__getitem__) == [report()]
+    assert reports.to_apply({"e1": "a:1"}.__getitem__) == []
+    assert not reports.add(
+        report(ttl_ms=UPSTREAM_REPORT_TTL_MS - 10), now_s=1.0
+    )
+    assert reports.add(report(), now_s=20.0)
 
 
-def test_notes_of_live_upstreams_are_ignored() -> None:
-    notes = UpstreamReports()
-    assert not notes.add(
-        msgspec.structs.replace(note(), state="live"), now_s=0.0
+def test_reports_of_live_upstreams_are_ignored() -> None:
+    reports = UpstreamReports()
+    assert not reports.add(
+        msgspec.structs.replace(report(), state="live"), now_s=0.0
     )
 
 
-def test_a_note_added_each_second_is_renewed_occasionally() -> None:
-    notes = UpstreamReports()
-    news = sum(notes.add(note(), float(now_s)) for now_s in range(60))
-    assert news == 4
-    assert notes.changed_since(0, 60.0)
+def test_a_report_added_each_second_is_renewed_occasionally() -> None:
+    reports = UpstreamReports()
+    added = sum(reports.add(report(), float(now_s)) for now_s in range(60))
+    assert added == 4
+    assert reports.changed_since(0, 60.0)
--- a/tests/test_relay_cold_starts.py
+++ b/tests/test_relay_cold_starts.py
@@ -94,12 +94,12 @@
         loop = asyncio.get_running_loop()
         own = f"h{number}"
 
-        def place(subject: str) -> HostRank:
+        def rank(subject: str) -> HostRank:
             known = set(view(number, loop.time())) - {own}
             return find_rank(own, known, subject)
 
         limiter = ColdStartLimiter(
-            LIMITS, lambda pool: tolerated_per_s, place, LoopClock()
+            LIMITS, lambda pool: tolerated_per_s, rank, LoopClock()
         )
         cold = upstream(cold_until_s=100.0)
         while loop.time() < STARTUP_S + LENGTH_S:
@@ -132,19 +132,15 @@
 
 def test_no_limit_applies_without_settings_or_once_warm() -> None:
     async def test() -> None:
-        def place(subject: str) -> HostRank:
+        def rank(subject: str) -> HostRank:
             return HostRank(0, 1)
 
         cold = upstream(cold_until_s=50.0)
-        unlimited = ColdStartLimiter(
-            None, lambda pool: 0.0, place, LoopClock()
-        )
+        unlimited = ColdStartLimiter(None, lambda pool: 0.0, rank, LoopClock())
         without_tolerance = ColdStartLimiter(
-            LIMITS, lambda pool: None, place, LoopClock()
-        )
-        limited = ColdStartLimiter(
-            LIMITS, lambda pool: 0.0, place, LoopClock()
+            LIMITS, lambda pool: None, rank, LoopClock()
         )
+        limited = ColdStartLimiter(LIMITS, lambda pool: 0.0, rank, LoopClock())
         assert unlimited.allows(cold)
         assert without_tolerance.allows(cold)
         assert not limited.allows(cold)  # other hosts are not known yet
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -170,7 +170,9 @@
 engines_repeat = generation_scenario(repeat)
 
 
-async def no_room(world: RelayWorld, stand_ins: list[ReplicaStandIn]) -> None:
+async def no_memory(
+    world: RelayWorld, stand_ins: list[ReplicaStandIn]
+) -> None:
     routes = configuration().routes
     routes = (*routes[:2], route("stream", "/draft/", "model", target_ms=100))
     world.configure(2, routes=routes)
@@ -325,18 +327,22 @@
     Expected(answered, "answered 200", (*ENDED, "upstream", "sends")),
     Expected(answered, "configuration in force", IN_FORCE),
     Expected(newer_version_reported, "newer configuration reported", NEWER),
-    Expected(broken_and_retried, "left alone: ", ("request", "out_ms")),
-    Expected(broken_and_retried, "tries another", ("request", "sends")),
-    Expected(slow_and_retried, "left alone: no answer", ("request",)),
+    Expected(broken_and_retried, "ejected: ", ("request", "out_ms")),
+    Expected(
+        broken_and_retried,
+        "retrying on another upstream",
+        ("request", "sends"),
+    ),
+    Expected(slow_and_retried, "ejected: no answer", ("request",)),
     Expected(budget_spent, "retry budget spent", ("request", "sends")),
     Expected(budget_spent, "upstreams full", ENDED),
     Expected(large_head, "head too large", ("status", "peer")),
-    Expected(slow_head, "head came too slowly", ("status", "peer")),
+    Expected(slow_head, "timed out reading a head", ("status", "peer")),
     Expected(generated, "placed", (*PLACED, "unread", "backup")),
     Expected(generated, "stream: whole", ("request", "upstream", "first_ms")),
     Expected(generated, "whole", (*ENDED, "upstream", "sends")),
     Expected(engines_refuse, "engine refused", ("request", "load")),
-    Expected(engines_reset, "left alone: ", ("request", "out_ms")),
+    Expected(engines_reset, "ejected: ", ("request", "out_ms")),
     Expected(engines_reset, "engine gave no answer", ENDED),
     Expected(engine_crashes, "upstream crashed while it ran", CRASHED),
     Expected(
@@ -350,12 +356,16 @@
     Expected(crashes_reported, "request crashes upstreams, not run", ENDED),
     Expected(engines_repeat, "", ("request",)),
     Expected(reported_failing, "avoided", ("upstream", "hosts_failing")),
-    Expected(no_room, "no room", ENDED),
+    Expected(no_memory, "no room", ENDED),
     Expected(caller_leaves, "caller gone", ENDED),
-    Expected(resumed_at_backup, "went on", ("request", "target", "event")),
-    Expected(engine_lost, "could not go on", ("request", "target", "event")),
+    Expected(
+        resumed_at_backup,
+        "resumed on another engine",
+        ("request", "target", "event"),
+    ),
+    Expected(engine_lost, "could not resume", ("request", "target", "event")),
     Expected(engine_lost, "engine lost", ENDED),
-    Expected(moved, "move: begins", ("request", "target", "tokens")),
+    Expected(moved, "move: started", ("request", "target", "tokens")),
     Expected(moved, "move: copied", ("request", "target", "tokens")),
     Expected(move_refused, "move: ", ("request", "target", "tokens")),
 ]
--- a/tests/test_relay_evacuated.py
+++ b/tests/test_relay_evacuated.py
@@ -33,8 +33,8 @@
 
 
 def evacuate(world: RelayWorld, end: int, *domains: str) -> None:
-    news = EvacuationSnapshot(end, list(domains))
-    world.upstreams.evacuations.offer(news, "store")
+    snapshot = EvacuationSnapshot(end, list(domains))
+    world.upstreams.evacuations.offer(snapshot, "store")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_relay_fill_limit.py
+++ b/tests/test_relay_fill_limit.py
@@ -100,7 +100,7 @@
             random.Random(seed),
             "north",
         )
-        self._rooms = MemoryAllocator(self._balancer)
+        self._allocator = MemoryAllocator(self._balancer)
         self._running: set[Running] = set()
         self._ends: list[tuple[float, int, Running]] = []
         self._numbers = itertools.count()
@@ -127,7 +127,7 @@
 
     def _start(self, request: Request, now_s: float) -> bool:
         expected = request.prompt_tokens + EXPECTED_OUTPUT_TOKENS
-        upstream = self._rooms.find(
+        upstream = self._allocator.find(
             SCOPE, TRAITS, expected, fill_limit=self._fill_limit
         )
         if upstream is None:
--- a/tests/test_relay_generations.py
+++ b/tests/test_relay_generations.py
@@ -279,7 +279,7 @@
     run(test())
 
 
-def test_a_generation_waits_until_the_engine_has_room() -> None:
+def test_a_generation_waits_until_the_engine_has_memory() -> None:
     started: list[str] = []
     go_on = asyncio.Event()
 
@@ -464,7 +464,7 @@
     run(test())
 
 
-def test_a_generation_without_room_in_time_gets_a_retry_after() -> None:
+def test_a_generation_without_memory_in_time_gets_a_retry_after() -> None:
     go_on = asyncio.Event()
 
     async def slow(
--- a/tests/test_relay_memory_allocator.py
+++ b/tests/test_relay_memory_allocator.py
@@ -19,7 +19,7 @@
 from balsamlift.relay._placement_policy import DEFAULT_POLICY
 
 TRAITS = EngineTraits(memory_tokens=10_000)
-MOST = int(TRAITS.memory_tokens * DEFAULT_POLICY.fill_limit)
+MAX_LOAD = int(TRAITS.memory_tokens * DEFAULT_POLICY.fill_limit)
 
 
 class OtherHosts:
@@ -84,10 +84,10 @@
 
 def test_an_engine_is_not_filled_beyond_the_limit() -> None:
     host = AllocatorOfOneHost(e1="north")
-    assert host.find(MOST) == "e1"
-    assert host.find(MOST + 1) is None
+    assert host.find(MAX_LOAD) == "e1"
+    assert host.find(MAX_LOAD + 1) is None
     host.others.counts["e1"] = 1
-    assert host.find(MOST) is None
+    assert host.find(MAX_LOAD) is None
 
 
 @pytest.mark.parametrize(("load", "expected"), [(400, "e1"), (600, "e2")])
@@ -115,7 +115,7 @@
 def test_urgent_requests_go_first_and_large_ones_do_not_starve() -> None:
     async def test() -> None:
         host = AllocatorOfOneHost(e1="north")
-        first = await host.wait(MOST)
+        first = await host.wait(MAX_LOAD)
         tasks = {
             "large": host.wait(6_000, priority=1),
             "small": host.wait(4_000, priority=1),
@@ -139,7 +139,7 @@
 def test_a_cancelled_wait_leaves_no_reservation() -> None:
     async def test() -> None:
         host = AllocatorOfOneHost(e1="north")
-        first = await host.wait(MOST)
+        first = await host.wait(MAX_LOAD)
         waiting = host.wait(1_000)
         await asyncio.sleep(0)
         waiting.cancel()
@@ -203,7 +203,7 @@
         host = AllocatorOfOneHost(seed=rng.randrange(1 << 30), **engines)
         host.others.counts_basis = basis
         for name in list(engines)[1:]:
-            host.others.counts[name] = MOST // 2
+            host.others.counts[name] = MAX_LOAD // 2
         found = host.find(1_000)
         assert found is not None
         prompts[found] += 3_000
--- a/tests/test_relay_move_reservation.py
+++ b/tests/test_relay_move_reservation.py
@@ -28,7 +28,7 @@
 
 TRAITS = EngineTraits(memory_tokens=10_000, can_move=True)
 TOKENS = 1_000
-MOST = round(TRAITS.memory_tokens * MOVE_FILL_LIMIT)
+MAX_LOAD = round(TRAITS.memory_tokens * MOVE_FILL_LIMIT)
 
 
 async def reserve_concurrently(
@@ -50,12 +50,12 @@
         rng = random.Random(f"{seed}/{host}")
         # The hosts learn of the notice within a few milliseconds.
         await asyncio.sleep(rng.uniform(0.0, 0.005))
-        tools = Namespace(
-            balancer=balancer, rooms=MemoryAllocator(balancer), rng=rng
+        context = Namespace(
+            balancer=balancer, allocator=MemoryAllocator(balancer), rng=rng
         )
         job = Namespace(scope=SCOPE, traits=TRAITS, tokens=TOKENS)
         return await reserve_for_move(
-            cast(GenerationContext, tools), cast(Job, job), "north", ()
+            cast(GenerationContext, context), cast(Job, job), "north", ()
         )
 
     return await asyncio.gather(*(reserve(host) for host in range(hosts)))
@@ -65,16 +65,16 @@
 def test_concurrent_reservations_do_not_overcommit_an_engine(
     seed: int,
 ) -> None:
-    """Twelve generations leave at once; eight engines have room for 16.
+    """Twelve generations leave at once; eight engines have memory for 16.
 
-    Guards against all twelve choosing the same engine, which has room for
+    Guards against all twelve choosing the same engine, which has memory for
     two: eight of them were then refused after waiting for the link.
     """
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         reservations = await reserve_concurrently(
-            12, engines=8, used=MOST - 2 * TOKENS, seed=seed
+            12, engines=8, used=MAX_LOAD - 2 * TOKENS, seed=seed
         )
         assert loop.time() < 1.0  # the notice is at least 1.5 s
         placed = Counter(h.upstream.name for h in reservations if h)
@@ -88,7 +88,7 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         (reservation,) = await reserve_concurrently(
-            1, engines=2, used=MOST - 2 * TOKENS, seed=1
+            1, engines=2, used=MAX_LOAD - 2 * TOKENS, seed=1
         )
         assert reservation is not None
         assert reservation.tokens == TOKENS
@@ -100,7 +100,7 @@
 def test_nothing_is_reserved_without_free_memory() -> None:
     async def test() -> None:
         reservations = await reserve_concurrently(
-            3, engines=2, used=MOST - TOKENS // 2, seed=1
+            3, engines=2, used=MAX_LOAD - TOKENS // 2, seed=1
         )
         assert reservations == [None, None, None]
 
--- a/tests/test_relay_shared_health.py
+++ b/tests/test_relay_shared_health.py
@@ -321,6 +321,6 @@
         assert host.shared_health.avoided("abc") == set()
     finally:
         logger.remove(sink)
-    assert [text for text, _ in lines] == ["avoided", "avoided no more"]
+    assert [text for text, _ in lines] == ["avoided", "no longer avoided"]
     assert lines[0][1]["hosts_failing"] == 3
     assert lines[0][1]["upstream"] == "a"
--- a/tests/test_relay_termination.py
+++ b/tests/test_relay_termination.py
@@ -40,11 +40,11 @@
     rng = random.Random(4)
     for _ in range(10):
         runs = rng.sample(RUNS, len(RUNS))  # the order may differ per host
-        places = {
+        positions = {
             r.request_id: queue_position(runs, r.request_id) for r in runs
         }
         # Most progress per token of memory first; possibly short runs last.
-        assert places == {"small": 0, "long": 1, "large": 2, "short": 3}
+        assert positions == {"small": 0, "long": 1, "large": 2, "short": 3}
 
 
 def test_an_unlisted_run_goes_last() -> None:
--- a/tests/test_relay_token_estimate.py
+++ b/tests/test_relay_token_estimate.py
@@ -7,7 +7,7 @@
 from balsamlift.testing.relay import NAMES
 
 # Length hints and actual lengths of answers limited to 2,224 tokens.
-MOST = 2_224
+MAX_OUTPUT_TOKENS = 2_224
 HINTED = [
     (124, 412),
     (12, 268),
@@ -51,8 +51,8 @@
     ],
 )
 def test_reads_the_estimate_from_headers(usage, hint, expected) -> None:
-    need = read_token_estimate(headers(usage, hint), NAMES)
-    assert (need.prompt_tokens, need.output_tokens) == expected
+    estimate = read_token_estimate(headers(usage, hint), NAMES)
+    assert (estimate.prompt_tokens, estimate.output_tokens) == expected
 
 
 def test_estimates_are_closer_than_the_hints_of_callers() -> None:
@@ -62,20 +62,22 @@
     ours = [
         error(
             read_token_estimate(
-                headers(f"1,{MOST}", str(h)), NAMES
+                headers(f"1,{MAX_OUTPUT_TOKENS}", str(h)), NAMES
             ).output_tokens,
             n,
         )
         for h, n in HINTED
     ]
-    callers = [error(min(h * 1.3, MOST), n) for h, n in HINTED]
+    callers = [error(min(h * 1.3, MAX_OUTPUT_TOKENS), n) for h, n in HINTED]
     # The mean error is 257 tokens instead of 590.
     assert sum(ours) < sum(callers) / 2
 
 
 def test_the_sum_of_estimates_is_close_to_the_actual_sum() -> None:
     expected = sum(
-        read_token_estimate(headers(f"1,{MOST}", str(h)), NAMES).output_tokens
+        read_token_estimate(
+            headers(f"1,{MAX_OUTPUT_TOKENS}", str(h)), NAMES
+        ).output_tokens
         for h, _ in HINTED
     )
     actual = sum(n for _, n in HINTED)
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -164,7 +164,7 @@
             raise StoreError("refused")
 
 
-class HostGathering(CountsAggregation):
+class HostAggregation(CountsAggregation):
     """Call other hosts of the test directly instead of over sockets."""
 
     hosts_by_name: dict[str, "Host"]
@@ -177,7 +177,7 @@
         if not asked.is_up:
             await asyncio.sleep(ANSWER_TIMEOUT_MS / 1_000)
             return None
-        return asked.gathering._aggregator.handle_update(update)
+        return asked.aggregation._aggregator.handle_update(update)
 
 
 class Copy:
@@ -226,12 +226,12 @@
                 snapshot_records=self._snapshot_records,
             )
         )
-        self.gathering = HostGathering(
+        self.aggregation = HostAggregation(
             name, clock, dict, "i", "127.0.0.1:0", self.records
         )
-        self.gathering.hosts_by_name = cluster.hosts
-        self.gathering._hosts = lambda: cluster.others(name)
-        self.gathering._metrics = Metrics()
+        self.aggregation.hosts_by_name = cluster.hosts
+        self.aggregation._hosts = lambda: cluster.others(name)
+        self.aggregation._metrics = Metrics()
         fallback_reads = FallbackReads(clock, random.Random(name))
         for follower in (self.configuration, self.listed):
             follower.share(lambda: self._reads(cluster), fallback_reads)
@@ -314,7 +314,7 @@
 
     async def _gather(self, host: Host, phase_s: float) -> None:
         await asyncio.sleep(phase_s)
-        await host.gathering._keep_sending()
+        await host.aggregation._keep_sending()
 
     def kill(self, name: str) -> None:
         self.hosts[name].is_up = False
@@ -349,7 +349,7 @@
         for name, host in self.hosts.items():
             for task in self._tasks[name]:
                 task.cancel()
-            await host.gathering.stop()
+            await host.aggregation.stop()
 
 
 def run(
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -95,10 +95,10 @@
 
 @contextmanager
 def short_probe_timeout() -> Iterator[None]:
-    before = probes.TIMEOUT_MS
-    probes.TIMEOUT_MS = 200
+    before = probes.PROBE_TIMEOUT_MS
+    probes.PROBE_TIMEOUT_MS = 200
     yield
-    probes.TIMEOUT_MS = before
+    probes.PROBE_TIMEOUT_MS = before
 
 
 def run(
@@ -318,7 +318,7 @@
     observed.add("leaving", by_peer=False, now_s=0)
     observed.add("dead", by_peer=True, now_s=0)
     assert observed.worst == "dead"
-    observed.note_answer(draining, after_s)
+    observed.record_answer(draining, after_s)
     assert observed.worst == state
 
 
