--- a/bench/placing.py
+++ b/bench/placing.py
@@ -130,7 +130,7 @@
     def send_counts(self) -> None:
         """Tell nobody."""
 
-    def place_for(self, subject: str) -> HostRank:
+    def rank_for(self, subject: str) -> HostRank:
         """Return the first place of one."""
         return HostRank(0, 1)
 
--- a/src/balsamlift/peers/_membership.py
+++ b/src/balsamlift/peers/_membership.py
@@ -223,7 +223,7 @@
         """Return whether hosts are so few that each hears all others."""
         return self._load.is_full_mesh
 
-    def place_for(self, subject: str) -> HostRank:
+    def rank_for(self, subject: str) -> HostRank:
         """Return this host's rank among the live hosts for that subject."""
         others = [
             member.host
@@ -232,7 +232,7 @@
         ]
         return find_rank(self.own.host, others, subject)
 
-    def known_place_for(self, subject: str) -> HostRank:
+    def known_rank_for(self, subject: str) -> HostRank:
         """Return this host's rank among all known hosts, also silent ones.
 
         Hosts on both sides of a network partition still agree on it.
--- a/src/balsamlift/relay/_balance.py
+++ b/src/balsamlift/relay/_balance.py
@@ -74,7 +74,7 @@
             peers.set_in_flight,
             peers.send_counts,
             self._reporting_hosts,
-            peers.place_for,
+            peers.rank_for,
         )
         upstreams.on_change(self._prune)
 
--- a/src/balsamlift/relay/_cold_starts.py
+++ b/src/balsamlift/relay/_cold_starts.py
@@ -51,18 +51,18 @@
         self,
         limits: ColdLimits | None,
         tolerated_per_s: Callable[[str], float | None],
-        place_for: Callable[[str], HostRank],
+        rank_for: Callable[[str], HostRank],
         clock: Clock,
     ) -> None:
         """Apply no limit if `limits` is None.
 
         `tolerated_per_s` returns what an upstream of a pool tolerates, or
-        None for no limit; `place_for` returns this host's rank among all
+        None for no limit; `rank_for` returns this host's rank among all
         hosts that it knows of.
         """
         self._limits = limits
         self._tolerated_per_s = tolerated_per_s
-        self._place_for = place_for
+        self._rank_for = rank_for
         self._clock = clock
         self._started_s = clock.monotonic()
         self._send_times: dict[str, deque[float]] = {}
@@ -77,7 +77,7 @@
             return True
         if now_s < self._started_s + STARTUP_S:
             return False
-        rank = self._place_for(upstream.name)
+        rank = self._rank_for(upstream.name)
         share = host_share(rank, tolerated_per_s, self._limits)
         return self._recent_sends(upstream.name, now_s) < share
 
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -101,7 +101,7 @@
             ColdStartLimiter(
                 self._settings.cold_limits,
                 routing.cold_requests_per_s,
-                peers.known_place_for,
+                peers.known_rank_for,
                 self._clock,
             ),
             self._settings.regions,
--- a/src/balsamlift/relay/_shared_health.py
+++ b/src/balsamlift/relay/_shared_health.py
@@ -107,18 +107,18 @@
         set_count: Callable[[str, int], None],
         publish_counts: Callable[[], None],
         others_count: Callable[[str], int],
-        place_for: Callable[[str], HostRank],
+        rank_for: Callable[[str], HostRank],
     ) -> None:
         """Set counts by `set_count` and send them by `publish_counts`.
 
         `others_count` returns the sum of the other hosts' counts of a key;
-        `place_for` returns this host's rank among the hosts for an
+        `rank_for` returns this host's rank among the hosts for an
         upstream.
         """
         self._set_count = set_count
         self._publish_counts = publish_counts
         self._others_count = others_count
-        self._place_for = place_for
+        self._rank_for = rank_for
         self._observations: dict[str, _Observation] = {}
         self._published: frozenset[str] = frozenset()
         self._failed_since_success: set[str] = set()
@@ -185,7 +185,7 @@
             for name in pool
             if self._count(probation_key(name)) >= MIN_FAILING_HOSTS
             and should_avoid(
-                self.reports(name), functools.partial(self._place_for, name)
+                self.reports(name), functools.partial(self._rank_for, name)
             )
         }
         if len(avoided) > len(pool) * MAX_AVOIDED_FRACTION:
--- a/tests/_shared_counts.py
+++ b/tests/_shared_counts.py
@@ -56,7 +56,7 @@
         await asyncio.sleep(SEND_DELAY_S)
         self._others = self._counts.sums(self._host)
 
-    def place_for(self, subject: str) -> HostRank:
+    def rank_for(self, subject: str) -> HostRank:
         hosts = [str(host) for host in range(self._counts.hosts)]
         hosts.remove(str(self._host))
         return find_rank(str(self._host), hosts, subject)
--- a/tests/test_relay_fill_limit.py
+++ b/tests/test_relay_fill_limit.py
@@ -50,7 +50,7 @@
 
     counts_basis: CountsBasis = "heard"
 
-    def place_for(self, subject: str) -> HostRank:
+    def rank_for(self, subject: str) -> HostRank:
         return HostRank(0, 1)
 
 
--- a/tests/test_relay_memory_allocator.py
+++ b/tests/test_relay_memory_allocator.py
@@ -38,7 +38,7 @@
 
     counts_basis: CountsBasis = "heard"
 
-    def place_for(self, subject: str) -> HostRank:
+    def rank_for(self, subject: str) -> HostRank:
         return HostRank(0, 1)
 
     async def refresh_counts(self) -> None:
