--- a/src/balsamlift/peers/_shared_records.py
+++ b/src/balsamlift/peers/_shared_records.py
@@ -88,7 +88,7 @@
     is_list_complete: Callable[[], bool]  # whether the list is complete
     evacuations: Evacuations  # from the topic of the configuration
     # Takes the version of each answer.
-    note_version: Callable[[int], None] = _ignore_version
+    record_version: Callable[[int], None] = _ignore_version
     # Returns the known configuration and evacuations as the newest records of
     # their keys before the given offset.
     snapshot_records: Callable[[int], list[Record]] | None = None
@@ -174,7 +174,7 @@
             self._sources.evacuations.offer(
                 answer.evacuations, "peer", answer.version_age_ms
             )
-        self._sources.note_version(answer.version)
+        self._sources.record_version(answer.version)
         if answer.configuration:
             self._sources.offer(answer.configuration)
         configuration = self._sources.configuration
--- a/src/balsamlift/platform/_daemon.py
+++ b/src/balsamlift/platform/_daemon.py
@@ -119,7 +119,7 @@
             lambda: self._configuration_watch.follower.age_s,
             node.apply_ms / 1_000,
         )
-        self.peers.on_version(routing.note_version)
+        self.peers.on_version(routing.record_version)
         self.peers.sharing.connect(
             lambda: routing.encoded,
             lambda data: offer_configuration(routing, data, "peer"),
@@ -136,7 +136,7 @@
             ),
             is_list_complete=lambda: self.upstreams.is_list_complete,
             evacuations=self.upstreams.evacuations,
-            note_version=lambda version: self._routing.note_version(
+            record_version=lambda version: self._routing.record_version(
                 version, "peer"
             ),
             snapshot_records=self._snapshot_records,
--- a/src/balsamlift/relay/_routing.py
+++ b/src/balsamlift/relay/_routing.py
@@ -163,7 +163,7 @@
             return True
         return self._max_age_s is not None and self.age_s > self._max_age_s
 
-    def note_version(self, version: int, source: str) -> None:
+    def record_version(self, version: int, source: str) -> None:
         """Record and log a version newer than any known; ignore others."""
         if version <= self.newest_version:
             return
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -305,7 +305,7 @@
 async def newer_version_reported(
     world: RelayWorld, stand_ins: list[ReplicaStandIn]
 ) -> None:
-    world.routing.note_version(world.routing.offset + 1, "another")
+    world.routing.record_version(world.routing.offset + 1, "another")
     await unknown_route(world, stand_ins)
 
 
--- a/tests/test_relay_routing.py
+++ b/tests/test_relay_routing.py
@@ -196,7 +196,7 @@
     offer_version(routing, 3, routes=(route("idempotent", "/a/", "plain"),))
     routing.set_age_source(fixed_age(age_s), 2.0)
     if newer_reported:
-        routing.note_version(4, "another")
+        routing.record_version(4, "another")
     refusal = admit(routing, path, key=key)
     assert isinstance(refusal, Refusal)
     assert refusal.status == 503
@@ -213,7 +213,7 @@
     routing = Routing()
     offer_version(routing, 3, routes=(route("idempotent", "/a/", "plain"),))
     routing.set_age_source(fixed_age(1.9), 2.0)
-    routing.note_version(3, "another")
+    routing.record_version(3, "another")
     refusal = admit(routing, path, key=key)
     assert isinstance(refusal, Refusal)
     assert refusal.status == status
@@ -223,5 +223,5 @@
     routing = Routing()
     offer_version(routing, 3, routes=(route("idempotent", "/a/", "plain"),))
     routing.set_age_source(fixed_age(60.0), 2.0)
-    routing.note_version(4, "another")
+    routing.record_version(4, "another")
     assert isinstance(admit(routing, "/a/x"), Call)
