--- a/src/balsamlift/peers/_aggregation.py
+++ b/src/balsamlift/peers/_aggregation.py
@@ -3,11 +3,11 @@
 The aggregating host also answers with what it knows of the platform's
 records, so that the others need not read them.
 
-Up to the fan-out, each host hears the counts of all others. Beyond it, a sum
-scaled up from the partners is too imprecise for an engine with memory for few
-generations. So all hosts send their counts to one of them, which answers with
-the sums. It keeps no durable state: another host replaces it as soon as it is
-gone.
+Up to the fan-out, each host receives the counts of all others. Beyond it, a
+sum scaled up from the partners is too imprecise for an engine with memory for
+few generations. So all hosts send their counts to one of them, which answers
+with the sums. It keeps no durable state: another host replaces it as soon as
+it is gone.
 """
 
 from __future__ import annotations
--- a/src/balsamlift/peers/_host_ranks.py
+++ b/src/balsamlift/peers/_host_ranks.py
@@ -34,7 +34,7 @@
     """Return the rank of `own` in the order of hosts for `subject`.
 
     Each subject has its own order (rendezvous hashing), the same on all
-    hosts. Tasks that only a few hosts do for each subject are so distributed
+    hosts. This distributes tasks that only a few hosts do for each subject
     over all hosts.
     """
     own_rank = _rank_for(own, subject)
--- a/src/balsamlift/peers/_link.py
+++ b/src/balsamlift/peers/_link.py
@@ -51,7 +51,7 @@
 class Link:
     """Send heartbeats to one peer, over a new connection when one fails.
 
-    A connection may go silent for good. When the peer is not heard, or does
+    A connection may go silent for good. When the peer sends nothing, or does
     not acknowledge what this host sends, the connection is replaced.
     """
 
--- a/src/balsamlift/peers/_links.py
+++ b/src/balsamlift/peers/_links.py
@@ -11,7 +11,7 @@
 from balsamlift.peers._partners import Partners
 from balsamlift.settings import PeerSettings
 
-# Where hosts do not all hear one another, one of them aggregates the counts,
+# Where not all hosts send to each other, one of them aggregates the counts,
 # and urgent changes are sent at once. So heartbeats need only be frequent
 # enough that three fit into the silence limit, which lasts six at the interval
 # of the settings.
--- a/src/balsamlift/peers/_load.py
+++ b/src/balsamlift/peers/_load.py
@@ -22,9 +22,9 @@
 class Load:
     """Obtain counts in the way that the number of hosts allows.
 
-    Up to the fan-out, every host hears all others. Beyond it, one host
-    aggregates the counts of all; without its answer, the sum over the hosts
-    heard is scaled up.
+    Up to the fan-out, every host receives the counts of all others. Beyond it,
+    one host aggregates them; without its answer, the sum of the counts that
+    were received is scaled up.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
             self._aggregation.send()
 
     async def refresh(self) -> None:
-        """Fetch current sums where hosts do not hear from all others."""
+        """Fetch current sums where not all hosts send to each other."""
         if not self.is_full_mesh:
             await self._aggregation.refresh()
 
--- a/src/balsamlift/peers/_membership.py
+++ b/src/balsamlift/peers/_membership.py
@@ -210,7 +210,7 @@
         self._load.send()
 
     async def refresh_counts(self) -> None:
-        """Fetch current counts where hosts do not hear from all others."""
+        """Fetch current counts where not all hosts send to each other."""
         await self._load.refresh()
 
     @property
@@ -220,7 +220,7 @@
 
     @property
     def is_full_mesh(self) -> bool:
-        """Return whether hosts are so few that each hears all others."""
+        """Return whether each host exchanges messages with all others."""
         return self._load.is_full_mesh
 
     def rank_for(self, subject: str) -> HostRank:
@@ -415,7 +415,7 @@
             callback()
 
     def _drop_counts(self, host: str) -> None:
-        """Drop a host's counts and request all of them if it is heard."""
+        """Drop a host's counts and request all of them again."""
         self._load.peer_counts.drop(host)
         self._peer_statuses.request_full_state(host)
 
--- a/src/balsamlift/peers/_messages.py
+++ b/src/balsamlift/peers/_messages.py
@@ -85,9 +85,7 @@
     seq: int  # increases over all messages of the incarnation
     previous_seq: int  # of the previous message on the link; 0: full state
     acked_seq: int  # the latest received from the receiver
-    needs_full_state: (
-        bool  # a message from the receiver was lost: send the full state
-    )
+    needs_full_state: bool  # a message was lost; send the full state
     stamp: str
     offset: int  # of the configuration
     caught_up: bool
@@ -99,9 +97,7 @@
     upstream_reports: list[UpstreamReport] = msgspec.field(
         default_factory=list
     )
-    shared: SharedPlatformState | None = (
-        None  # left out of nearly all messages
-    )
+    shared: SharedPlatformState | None = None  # in few messages
     evacuations: EvacuationSnapshot | None = None  # None: not known yet
     crash_reports: list[CrashReport] = msgspec.field(default_factory=list)
 
--- a/src/balsamlift/peers/_peer.py
+++ b/src/balsamlift/peers/_peer.py
@@ -20,9 +20,9 @@
     leaving: bool
     key_prefix: str = ""  # of the keys that it is the home of now
     taken_over: tuple[str, ...] = ()  # homes whose keys were handed to it
-    offset: int = 0  # of its configuration; 0 until heard directly
+    offset: int = 0  # of its configuration; 0 until heard from directly
     caught_up: bool = False
-    last_heard_s: float | None = None  # monotonic; None: never heard directly
+    last_heard_s: float | None = None  # monotonic; None: not heard from
 
 
 def describe(member: Member, status: PeerStatus | None) -> Peer:
--- a/src/balsamlift/peers/_peer_statuses.py
+++ b/src/balsamlift/peers/_peer_statuses.py
@@ -17,7 +17,7 @@
     received_s: float = 0.0
     offset: int = 0
     caught_up: bool = False
-    chose_us: bool = False
+    chose_this_host: bool = False
     needs_full_state: bool = False  # until a message with it arrives
     wants_list: bool = False
 
@@ -31,7 +31,7 @@
         self.received_s = now_s
         self.offset = message.offset
         self.caught_up = message.caught_up
-        self.chose_us = message.chosen
+        self.chose_this_host = message.chosen
         shared = message.shared
         self.wants_list = shared is not None and shared.wants_list
 
@@ -59,7 +59,7 @@
         return status
 
     def heard_recently(self, host: str, incarnation: str) -> bool:
-        """Return whether that incarnation of a peer was heard recently."""
+        """Return whether that incarnation of a peer sent recently."""
         status = self.find_incarnation(host, incarnation)
         return status is not None and self._is_recent(status)
 
@@ -69,11 +69,11 @@
         return status is not None and status.wants_list
 
     def inbound_partners(self) -> set[str]:
-        """Return the peers that chose this host and were heard recently."""
+        """Return the peers that chose this host and sent recently."""
         return {
             host
             for host, status in self._statuses.items()
-            if status.chose_us and self._is_recent(status)
+            if status.chose_this_host and self._is_recent(status)
         }
 
     def update(self, message: PeerMessage) -> bool:
--- a/src/balsamlift/peers/_receiver.py
+++ b/src/balsamlift/peers/_receiver.py
@@ -58,7 +58,7 @@
         self._update_link(message)
 
     def _update_sender(self, message: PeerMessage) -> bool:
-        """Record that the sender is live; return false if outdated."""
+        """Update the sender's status; return false for an outdated message."""
         host = message.host
         seen = self._members.incarnations(host)
         if message.incarnation in seen[:-1]:
@@ -79,7 +79,7 @@
             self._on_member(member.host)
 
     def _correct(self, message: PeerMessage) -> None:
-        """Send a sender our entry for it if that one is wrong.
+        """Send a sender this host's entry for it if that entry is wrong.
 
         The entry is wrong if it is dead or of another incarnation; the
         sender then supersedes it.
--- a/src/balsamlift/peers/_shared_records.py
+++ b/src/balsamlift/peers/_shared_records.py
@@ -49,9 +49,8 @@
     version_age_ms: int | None  # since it was the newest; None: unknown
     configuration: bytes = b""  # as operators wrote it
     listed: TopicUpdate | None = None
-    evacuations: EvacuationSnapshot | None = (
-        None  # of the same age as the version
-    )
+    # Of the same age as the version.
+    evacuations: EvacuationSnapshot | None = None
     must_read: bool = False  # the configuration is too large to be sent
     # Offset in the configuration's topic before which every record is covered
     # by `version` and `evacuations`; None: unknown.
@@ -85,7 +84,7 @@
     listed: Follower
     copy: ConfigurationCopy
     offer: Callable[[bytes], None]  # takes a configuration that may be newer
-    is_list_complete: Callable[[], bool]  # whether the list is complete
+    is_list_complete: Callable[[], bool]  # false during an outage
     evacuations: Evacuations  # from the topic of the configuration
     # Takes the version of each answer.
     record_version: Callable[[int], None] = _ignore_version
--- a/src/balsamlift/peers/_upstream_gossip.py
+++ b/src/balsamlift/peers/_upstream_gossip.py
@@ -12,7 +12,7 @@
 
 
 class UpstreamGossip:
-    """Send marks on upstreams to peers, and apply those of the peers."""
+    """Report observed states of upstreams to peers, and apply theirs."""
 
     def __init__(self, reports: UpstreamReports, clock: Clock) -> None:
         """Keep the exchanged reports in `reports`."""
--- a/src/balsamlift/relay/_balance.py
+++ b/src/balsamlift/relay/_balance.py
@@ -210,21 +210,21 @@
         return upstream
 
     def record_success(self, upstream: str) -> None:
-        """Record a complete answer, or the start of a streamed one."""
+        """Record a complete response, or the start of a streamed one."""
         self.health.record_success(upstream)
         self._shared_health.record(
             upstream, self._clock.monotonic(), is_failing=False
         )
 
     def record_failure(self, upstream: str) -> None:
-        """Record an answer that reports a failed request."""
+        """Record a response that reports a failed request."""
         self.health.record_failure(upstream)
         self._shared_health.record(
             upstream, self._clock.monotonic(), is_failing=True
         )
 
     def eject(self, upstream: str) -> float:
-        """Eject an upstream that sent no complete answer.
+        """Eject an upstream that sent no complete response.
 
         Returns the duration of the ejection.
         """
--- a/src/balsamlift/relay/_cold_starts.py
+++ b/src/balsamlift/relay/_cold_starts.py
@@ -36,7 +36,7 @@
 def host_share(
     rank: HostRank, tolerated_per_s: float, limits: ColdLimits
 ) -> int:
-    """Return how many requests a second that host may send an upstream."""
+    """Return how many requests per second a host of that rank may send."""
     limit = int(tolerated_per_s * limits.factor + limits.extra_per_s)
     # A limit of less than one request per group goes to a single group.
     group_limit = max(limit // MEMBERSHIP_GROUPS, min(limit, 1))
--- a/src/balsamlift/relay/_generation.py
+++ b/src/balsamlift/relay/_generation.py
@@ -248,7 +248,7 @@
         return None
 
     async def _resume_at_backup(self) -> bool:
-        """Resume at the engine that received the memory as it grew."""
+        """Resume at the backup engine; return whether that succeeded."""
         upstream = self._backup.take()
         if upstream is None:
             return False
--- a/src/balsamlift/relay/_health.py
+++ b/src/balsamlift/relay/_health.py
@@ -9,7 +9,7 @@
 FIRST_EJECTION_S = 0.5
 # A longer ejection would delay the use of the upstream's replacement.
 MAX_EJECTION_S = 4.0
-# Weight of the newest answer in the moving average of failures.
+# Weight of the newest response in the moving average of failures.
 FAILURE_WEIGHT = 0.1
 
 
@@ -23,14 +23,14 @@
 
 
 class UpstreamHealth:
-    """Rate upstreams by their answers to this host."""
+    """Rate upstreams by their responses to this host."""
 
     def __init__(self) -> None:
         """Start without any results."""
         self._results: dict[str, _Results] = {}
 
     def record_success(self, upstream: str) -> None:
-        """Record a complete answer."""
+        """Record a complete response."""
         results = self._results.get(upstream)
         if results is None:
             return
@@ -39,12 +39,12 @@
         results.ejected_until_s = 0.0
 
     def record_failure(self, upstream: str) -> None:
-        """Record an answer that reports a failed request."""
+        """Record a response that reports a failed request."""
         results = self._results.setdefault(upstream, _Results())
         results.failure_share += FAILURE_WEIGHT * (1 - results.failure_share)
 
     def eject(self, upstream: str, now_s: float) -> float:
-        """Eject an upstream that sent no complete answer.
+        """Eject an upstream that sent no complete response.
 
         Returns the duration of the ejection.
         """
--- a/src/balsamlift/relay/_link_access.py
+++ b/src/balsamlift/relay/_link_access.py
@@ -14,7 +14,7 @@
 
 # Interval between checks whether the link is free.
 POLL_INTERVAL_S = 0.01
-# Same if the check requires a request to another host.
+# The same if the check requires a request to another host.
 REMOTE_POLL_INTERVAL_S = 0.04
 # Additional delay for each position in the queue, so that the copy of the
 # preceding generation is known before the next one would start.
--- a/src/balsamlift/relay/_move.py
+++ b/src/balsamlift/relay/_move.py
@@ -80,7 +80,7 @@
         """Release the memory reserved on the target.
 
         Called once the resumed generation occupies it: an engine that resumes
-        from a copy takes up to a second to answer, and the memory must not be
+        from a copy takes up to a second to respond, and the memory must not be
         given to others before that.
         """
         if self._reservation is not None:
--- a/src/balsamlift/relay/_retry_budget.py
+++ b/src/balsamlift/relay/_retry_budget.py
@@ -49,16 +49,16 @@
 
 
 class RetryBudget:
-    """Allow retries from this host's requests and its share of the extra.
+    """Allow retries by this host's requests and its share of `extra`.
 
     A host that has just started may replace one that spent its share within
-    the window, so it gets no share of the extra until a window has passed.
+    the window, so it gets no share of `extra` until a window has passed.
     """
 
     def __init__(
         self, limits: RetryLimits, hosts: Callable[[], int], clock: Clock
     ) -> None:
-        """Share the extra among `hosts()` hosts, including this one."""
+        """Share `extra` among `hosts()` hosts, including this one."""
         self._limits = limits
         self._hosts = hosts
         self._clock = clock
--- a/src/balsamlift/relay/_service.py
+++ b/src/balsamlift/relay/_service.py
@@ -41,7 +41,8 @@
 
 log = logger.bind(part="relay")
 
-# How often waiting generations check for memory released by other hosts.
+# Interval between checks for memory that other hosts have released, while
+# generations wait.
 MEMORY_POLL_INTERVAL_S = 0.1
 # The same if the load counts have to be requested from another host.
 REMOTE_MEMORY_POLL_INTERVAL_S = 0.3
--- a/tests/test_relay_leaving_load.py
+++ b/tests/test_relay_leaving_load.py
@@ -57,7 +57,7 @@
 
     @property
     def is_gone(self) -> bool:
-        """Tell whether the engine has terminated."""
+        """Return whether the engine has terminated."""
         now_s = asyncio.get_running_loop().time()
         return now_s > self.noticed_s + NOTICE_S
 
@@ -113,7 +113,7 @@
 
 
 async def leave(running: int, ended: int) -> list[CallerAnswer]:
-    """Let an engine with `running` generations leave; return the answers."""
+    """Let an engine with `running` generations leave; return the responses."""
     first, second = (
         ReplicaStandIn(f"model-{i}", "model", NAMES) for i in range(2)
     )
