--- a/bench/placing.py
+++ b/bench/placing.py
@@ -131,7 +131,7 @@
     def send_counts(self) -> None:
         """Do nothing, as there are no peers."""
 
-    def place_for(self, subject: str) -> HostRank:
+    def rank_for(self, subject: str) -> HostRank:
         """Return the rank of the only host."""
         return HostRank(0, 1)
 
--- a/src/balsamlift/relay/_balance.py
+++ b/src/balsamlift/relay/_balance.py
@@ -74,7 +74,7 @@
             peers.set_in_flight,
             peers.send_counts,
             self._reporting_hosts,
-            peers.place_for,
+            peers.rank_for,
         )
         upstreams.on_change(self._prune)
 
@@ -84,7 +84,7 @@
 
     @property
     def receives_pushed_counts(self) -> bool:
-        """Tell whether other hosts push their counts as they change."""
+        """Return whether other hosts push their counts as they change."""
         return self._peers.is_full_mesh
 
     @property
@@ -179,7 +179,7 @@
             self._cold_starts.record_send(upstream)
 
     def is_blocked_by_operators(self, scope: Scope) -> bool:
-        """Tell whether operators leave no upstream for a call.
+        """Return whether operators leave no upstream for a call.
 
         Either by evacuations, or because its route and its workspace have no
         region in common.
@@ -210,21 +210,21 @@
         return upstream
 
     def record_success(self, upstream: str) -> None:
-        """Record a complete answer, or the start of a streamed one."""
+        """Record a complete response, or the start of a streamed one."""
         self.health.record_success(upstream)
         self._shared_health.record(
             upstream, self._clock.monotonic(), is_failing=False
         )
 
     def record_failure(self, upstream: str) -> None:
-        """Record an answer that reports a failed request."""
+        """Record a response that reports a failed request."""
         self.health.record_failure(upstream)
         self._shared_health.record(
             upstream, self._clock.monotonic(), is_failing=True
         )
 
     def eject(self, upstream: str) -> float:
-        """Eject an upstream that sent no complete answer.
+        """Eject an upstream that sent no complete response.
 
         Returns the duration of the ejection.
         """
--- a/tests/test_relay_token_estimate.py
+++ b/tests/test_relay_token_estimate.py
@@ -7,7 +7,7 @@
 from balsamlift.testing.relay import HEADER_NAMES
 
 # Length hints and actual lengths of answers limited to 2,224 tokens.
-MOST = 2_224
+MAX_OUTPUT_TOKENS = 2_224
 HINTED = [
     (124, 412),
     (12, 268),
@@ -51,8 +51,8 @@
     ],
 )
 def test_reads_the_estimate_from_headers(usage, hint, expected) -> None:
-    need = read_token_estimate(headers(usage, hint), HEADER_NAMES)
-    assert (need.prompt_tokens, need.output_tokens) == expected
+    estimate = read_token_estimate(headers(usage, hint), HEADER_NAMES)
+    assert (estimate.prompt_tokens, estimate.output_tokens) == expected
 
 
 def test_estimates_are_closer_than_the_hints_of_callers() -> None:
@@ -62,13 +62,13 @@
     ours = [
         error(
             read_token_estimate(
-                headers(f"1,{MOST}", str(h)), HEADER_NAMES
+                headers(f"1,{MAX_OUTPUT_TOKENS}", str(h)), HEADER_NAMES
             ).output_tokens,
             n,
         )
         for h, n in HINTED
     ]
-    callers = [error(min(h * 1.3, MOST), n) for h, n in HINTED]
+    callers = [error(min(h * 1.3, MAX_OUTPUT_TOKENS), n) for h, n in HINTED]
     # The mean error is 257 tokens instead of 590.
     assert sum(ours) < sum(callers) / 2
 
@@ -76,7 +76,7 @@
 def test_the_sum_of_estimates_is_close_to_the_actual_sum() -> None:
     expected = sum(
         read_token_estimate(
-            headers(f"1,{MOST}", str(h)), HEADER_NAMES
+            headers(f"1,{MAX_OUTPUT_TOKENS}", str(h)), HEADER_NAMES
         ).output_tokens
         for h, _ in HINTED
     )
