--- a/src/balsamlift/_progress.py
+++ b/src/balsamlift/_progress.py
@@ -61,7 +61,7 @@
     accepted: Accepted | None = None
     start: Start | None = None
     sent: bool = False  # whether any byte may have been sent under this key
-    sent_before: bool = False  # the is_same, before the current attempt
+    sent_before: bool = False  # the same, before the current attempt
 
     def replace_key(self, home: HostAddress) -> None:
         """Replace the unsent key by a new one whose home is `home`."""
